--- a/crates/dispatcher/src/core_task.rs
+++ b/crates/dispatcher/src/core_task.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use gannetridge_dispatch::message::{Envelope, Reply};
-use gannetridge_dispatch::{Action, Answer, Dispatcher, Event, Millis, Note, SendFailure, Token};
+use gannetridge_dispatch::{Action, Answer, Dispatcher, Event, Millis, SendFailure, Token};
 use gannetridge_net::Client;
 use local_sync::{mpsc::unbounded, oneshot};
 use monoio::time::timeout;
@@ -12,7 +12,8 @@
 use tracing_appender::non_blocking::ErrorCounter;
 
 use crate::caller_api::Stopping;
-use crate::metrics::{end_name, Metrics};
+use crate::decision_log;
+use crate::metrics::Metrics;
 use crate::outside::{Outside, TargetOrder};
 use crate::peer_api;
 use crate::process::Reloader;
@@ -202,80 +203,10 @@
                 });
             }
             Action::Note(note) => {
-                log(&note);
+                decision_log::write(&note);
                 self.metrics.note(&note);
             }
             Action::Stopped => self.stopped = true,
         }
     }
 }
-
-fn log(note: &Note) {
-    match note {
-        Note::JobTaken {
-            job,
-            queue,
-            tasks,
-            aim_ms,
-            deadline_ms,
-            version,
-        } => info!(event = "job-taken", %job, %queue, tasks, aim_ms, deadline_ms, version),
-        Note::JobRejected {
-            path,
-            reason,
-            version,
-        } => info!(event = "job-rejected", %path, reason, version),
-        Note::JobEnded {
-            job,
-            queue,
-            cause,
-            done,
-            starts,
-            took_ms,
-            aim_ms,
-        } => {
-            let cause = cause.as_str();
-            info!(event = "job-ended", %job, %queue, cause, done, starts, took_ms, aim_ms);
-        }
-        Note::Asked {
-            peer,
-            first,
-            tasks,
-            age_ms,
-        } => info!(event = "peer-asked", task = %first.task, run = first.run, %peer, tasks, age_ms),
-        Note::Started {
-            key,
-            target,
-            owner,
-            left_cpu,
-        } => info!(event = "started", task = %key.task, run = key.run, %target, %owner, left_cpu),
-        Note::RunEnded {
-            key,
-            target,
-            end,
-            by,
-            took_ms,
-        } => {
-            let end = end_name(*end);
-            info!(event = "run-ended", task = %key.task, run = key.run, %target, end, by, took_ms);
-        }
-        Note::Stopping {
-            key,
-            target,
-            reason,
-        } => info!(event = "run-ending", task = %key.task, run = key.run, %target, reason),
-        Note::Target { target, state, by } => info!(event = "target", %target, state, by),
-        Note::Peer {
-            peer,
-            state,
-            silent_ms,
-        } => info!(event = "peer", %peer, state, silent_ms),
-        Note::SessionLost {
-            peer,
-            runs,
-            over_in_ms,
-        } => info!(event = "session-lost", %peer, runs, over_in_ms),
-        Note::Queues { version, from } => info!(event = "configuration", version, from),
-        Note::Store { reachable } => info!(event = "store", reachable),
-    }
-}
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod caller_api;
 pub mod core_task;
+pub mod decision_log;
 pub mod logging;
 pub mod metrics;
 pub mod outside;
