--- a/crates/lab/src/callers.rs
+++ b/crates/lab/src/callers.rs
@@ -43,12 +43,8 @@
     pub first_sent: Time,
     /// The first final answer.
     pub answer: Option<Answer>,
-    /// Whether it fitted in the free slots when it was first sent.
-    pub fits: bool,
     /// The slowest task on a runner of ordinary speed, in ms.
     pub slowest_ms: u64,
-    /// All tasks together, in ms.
-    pub work_ms: u64,
     /// True once the caller is not interested any more.
     pub given_up: bool,
     /// True if a job of this kind is measured.
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -11,8 +11,6 @@
 /// A change of what is wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultEvent {
-    /// Jobs come so many times as often.
-    LoadFactor(f64),
     /// A hall is being emptied.
     DrainHall(usize),
     /// A hall is cut off from the other halls and the platform.
@@ -72,7 +70,6 @@
 impl FaultEvent {
     fn name(self) -> &'static str {
         match self {
-            Self::LoadFactor(_) => "load",
             Self::DrainHall(_) => "hall emptied",
             Self::CutHall(_) => "hall cut",
             Self::CutPair(..) => "hosts cut from each other",
@@ -107,8 +104,7 @@
     fn hides_news(self) -> bool {
         !matches!(
             self,
-            Self::LoadFactor(_)
-                | Self::KillRunner(_)
+            Self::KillRunner(_)
                 | Self::ReviveRunner(_)
                 | Self::SlowRunner(..)
                 | Self::LeaveByList(_)
@@ -127,7 +123,6 @@
             self.calm_since = self.now;
         }
         match fault {
-            FaultEvent::LoadFactor(factor) => self.load_factor = factor,
             FaultEvent::DrainHall(hall) => self.drain_hall(hall),
             FaultEvent::CutHall(hall) => {
                 self.network.cut_halls.insert(hall);
--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -2,7 +2,6 @@
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-use crate::control::ControlBytes;
 use gannetridge_core::{Action, CallId, Event, Host, Token};
 use gannetridge_wire::{Name, Time};
 
@@ -95,8 +94,6 @@
     pub last_token: u64,
     /// The greatest version of the configuration in force so far.
     pub config_version: u64,
-    /// Bytes sent and taken that serve control only.
-    pub control: ControlBytes,
 }
 
 impl SimHost {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -2,15 +2,11 @@
 //! process, with workers reduced to slots, speed and lag, and faults of every
 //! kind that the users name.
 //!
-//! The same seed gives the same run. [`chaos`] looks for broken promises,
-//! [`experiment`] measures the policy.
+//! The same seed gives the same run. [`chaos`] looks for broken promises.
 
-pub mod bench;
 pub mod callers;
 pub mod chaos;
 pub mod checks;
-pub mod control;
-pub mod experiment;
 pub mod faults;
 pub mod hosts;
 mod lifecycle;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -10,7 +10,7 @@
 use crate::callers::{CallerJob, RequestId, Sending};
 use crate::checks::Violation;
 use crate::hosts::{Asker, Pulse};
-use crate::scenario::{AccountLoad, Planned};
+use crate::scenario::AccountLoad;
 use crate::world::{Ev, World, START_MS};
 
 /// Least time between two sendings of a caller, in ms.
@@ -24,7 +24,7 @@
         if elapsed_ms >= self.scenario.load_ms {
             return;
         }
-        let rate = self.scenario.accounts[account].jobs_per_s * self.load_factor;
+        let rate = self.scenario.accounts[account].jobs_per_s;
         let uniform: f64 = self.load_rng.random_range(f64::EPSILON..1.0);
         let wait_us = (-uniform.ln() / rate * 1e6) as u64;
         self.at(wait_us.max(1), Ev::Arrive(account));
@@ -37,12 +37,10 @@
         let load = self.scenario.accounts[account].clone();
         let count = self.pick_size(&load);
         let mut slowest_ms = 0;
-        let mut work_ms = 0;
         let mut tasks = Vec::with_capacity(count as usize);
         for index in 0..count {
             let ms = self.pick_time(&load);
             slowest_ms = slowest_ms.max(ms);
-            work_ms += ms;
             tasks.push(TaskSpec {
                 input: format!("run-ms={ms} {index}"),
                 expected_ms: None,
@@ -66,7 +64,6 @@
         let measured = self.now.as_millis() - START_MS >= self.scenario.warm_up_ms;
         let job = CallerJob {
             account,
-            fits: self.free_slots() >= count,
             submission,
             clash: None,
             sendings: Vec::new(),
@@ -74,7 +71,6 @@
             first_sent: self.now,
             answer: None,
             slowest_ms,
-            work_ms,
             given_up: false,
             measured,
         };
@@ -98,26 +94,8 @@
     }
 
     fn pick_time(&mut self, load: &AccountLoad) -> u64 {
-        let ms = self
-            .load_rng
-            .random_range(load.shortest_ms..=load.longest_ms);
-        for planned in &self.scenario.planned {
-            if let Planned::Stragglers { every, factor } = planned {
-                if self.load_rng.random_range(0..*every) == 0 {
-                    return (ms as f64 * factor) as u64;
-                }
-            }
-        }
-        ms
-    }
-
-    /// Returns the slots that are free in fact.
-    pub(crate) fn free_slots(&self) -> u32 {
-        let open = self
-            .runners
-            .iter()
-            .filter(|r| r.alive && r.leaving_since.is_none());
-        open.map(|r| r.book.slots() - r.book.busy()).sum()
+        self.load_rng
+            .random_range(load.shortest_ms..=load.longest_ms)
     }
 
     /// Plans sendings beside and after the first, and clashes.
@@ -321,7 +299,6 @@
             let text = format!("{cause:?}/{ran:?}");
             *self.report.causes.entry(text).or_default() += 1;
         }
-        self.count_useful_work(index, answer);
         let job = &self.callers.jobs[index];
         if !job.measured {
             return;
@@ -332,7 +309,6 @@
         let ideal_us = job.slowest_ms * 1_000 + trips_us;
         let late = response_us > job.submission.deadline_ms * 1_000;
         let name = job.submission.account.clone();
-        let fits = job.fits;
         let account = self.report.accounts.entry(name).or_default();
         if !matches!(answer, Answer::Complete { .. }) {
             account.failed += 1;
@@ -341,21 +317,6 @@
         account.complete += 1;
         account.late += u64::from(late);
         account.ratios.add(response_us, ideal_us);
-        if fits {
-            account.fitting.add(response_us, ideal_us);
-        }
-    }
-
-    /// Counts the work of jobs answered in time while load comes, so that
-    /// neither the warm-up nor the tail adds to it.
-    fn count_useful_work(&mut self, index: usize, answer: &Answer) {
-        let job = &self.callers.jobs[index];
-        let within = self.is_measured() && self.now.as_millis() < START_MS + self.scenario.load_ms;
-        let in_time = self.now.micros_since(job.first_sent) <= job.submission.deadline_ms * 1_000;
-        if within && in_time && matches!(answer, Answer::Complete { .. }) {
-            let name = job.submission.account.clone();
-            self.report.accounts.entry(name).or_default().work_ms += job.work_ms;
-        }
     }
 
     /// Returns the measured jobs, for a dispatcher that knows them all.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs randomised runs and experiments by name and seed.
+//! Runs randomised runs by seed.
 
 mod cmd;
 
@@ -6,7 +6,7 @@
 
 use gumdrop::Options;
 
-/// Runs randomised runs and experiments around the real decision core.
+/// Runs randomised runs around the real decision core.
 #[derive(Debug, Options)]
 struct Arguments {
     #[options(help = "print this help")]
@@ -24,18 +24,6 @@
     /// Randomised runs of the dispatcher.
     #[options(help = "randomised runs of the dispatcher with every fault")]
     Dispatch(cmd::dispatch::Dispatch),
-    /// Measures the policy.
-    #[options(help = "measure the policy under load and faults")]
-    Experiment(cmd::experiment::Experiment),
-    /// Measures running processes.
-    #[options(help = "measure running processes as callers see them")]
-    Loopback(cmd::loopback::Loopback),
-    /// Measures the core's cost.
-    #[options(help = "measure what decisions cost")]
-    Bench(cmd::bench::Bench),
-    /// Measures what idle hosts spend on control.
-    #[options(help = "measure what idle hosts spend on control")]
-    Control(cmd::control::Control),
     /// Puts known faults back in.
     #[options(help = "show that the checks find mechanisms that are missing")]
     Mutants(cmd::mutants::Mutants),
@@ -53,10 +41,6 @@
         }
         Some(Command::Chaos(options)) => cmd::chaos::run(&options),
         Some(Command::Dispatch(options)) => cmd::dispatch::run(&options),
-        Some(Command::Experiment(options)) => cmd::experiment::run(&options),
-        Some(Command::Loopback(options)) => cmd::loopback::run(&options),
-        Some(Command::Bench(_)) => cmd::bench::run(),
-        Some(Command::Control(options)) => cmd::control::run(&options),
         Some(Command::Mutants(options)) => cmd::mutants::run(&options),
     };
     match outcome {
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -6,7 +6,6 @@
 use gannetridge_wire::Name;
 use rand::Rng;
 
-use crate::control::{reply_bytes, request_bytes};
 use crate::hosts::{Asker, CallKind, CallOf, Pulse, RunOf};
 use crate::world::{Ev, World, CONNECT_TIMEOUT_US};
 
@@ -84,7 +83,6 @@
         request: PeerRequest,
         wait_ms: u64,
     ) {
-        self.report.peer_messages += 1;
         let wait_us = wait_ms * 1_000;
         self.hosts[call.run.host]
             .open
@@ -102,10 +100,6 @@
         if self.dropped() {
             return;
         }
-        if let Some(bytes) = request_bytes(&request) {
-            self.hosts[call.run.host].control.peers += bytes;
-            self.hosts[to].control.peers += bytes;
-        }
         let delay = self.delay(base);
         let duplicate = self.network.duplicate;
         if duplicate > 0.0 && self.rng.random_bool(duplicate) {
@@ -154,10 +148,6 @@
         if self.dropped() || !self.host_reach(run.host, call.run.host) {
             return;
         }
-        if let Some(bytes) = reply_bytes(&reply) {
-            self.hosts[run.host].control.peers += bytes;
-            self.hosts[call.run.host].control.peers += bytes;
-        }
         let base = self.base_delay(self.hosts[run.host].hall, self.hosts[call.run.host].hall);
         let delay = self.delay(base);
         self.at(delay, Ev::PeerReply(call, Box::new(Ok(reply))));
--- a/crates/lab/src/operators.rs
+++ b/crates/lab/src/operators.rs
@@ -80,8 +80,7 @@
         *self.report.changes.entry(kind).or_default() += 1;
         match answer {
             Some(ChangeAnswer::Accepted { version }) => {
-                self.changes[index].accepted = Some((version, self.now));
-                self.accepted_change(version);
+                self.changes[index].accepted = Some(version);
                 if !self.change_in_table(&id) {
                     let text = format!("{id} at version {version}");
                     self.checks.violated(Violation::AcceptedNotDurable(text));
@@ -108,7 +107,7 @@
     /// Checks at the end that the last version is in force everywhere.
     pub(crate) fn check_in_force(&mut self) {
         let accepted = self.changes.iter().filter_map(|c| c.accepted);
-        let last = accepted.map(|(version, _)| version).max().unwrap_or(1);
+        let last = accepted.max().unwrap_or(1);
         for index in self.live_hosts() {
             let host = &self.hosts[index];
             if host.core.config().version() < last {
--- a/crates/lab/src/perform.rs
+++ b/crates/lab/src/perform.rs
@@ -45,8 +45,6 @@
                 wait_ms,
                 ..
             } => {
-                self.report.starts += u64::from(self.is_measured());
-                self.curve().0 += 1;
                 let from = CallOf { run, call };
                 let runner = self.runner(&target);
                 let start = Ev::Start {
@@ -79,11 +77,6 @@
         self.now.as_millis() - START_MS >= self.scenario.warm_up_ms
     }
 
-    pub(crate) fn curve(&mut self) -> &mut (u64, u64) {
-        let second = (self.now.as_millis() - START_MS) / 1_000;
-        self.report.curve.entry(second).or_default()
-    }
-
     pub(crate) fn note(&mut self, run: RunOf, note: &Note) {
         match note {
             Note::Wasted(Waste::Resubmitted) | Note::Finished { .. } | Note::Refused { .. } => {}
@@ -91,7 +84,6 @@
                 if self.is_measured() {
                     self.report.waste(*waste);
                 }
-                self.curve().1 += 1;
             }
             Note::ConfigInForce { version } => {
                 let host = &mut self.hosts[run.host];
@@ -100,35 +92,12 @@
                     self.checks.violated(Violation::ConfigReverted(text));
                 }
                 self.hosts[run.host].config_version = *version;
-                self.note_in_force();
             }
             Note::ShardAcquired { .. } => self.check_owners(run),
             Note::ShardReleased { .. } => {}
         }
     }
 
-    pub(crate) fn note_in_force(&mut self) {
-        let least = self
-            .hosts
-            .iter()
-            .map(|h| h.config_version)
-            .min()
-            .unwrap_or(0);
-        while let Some((version, accepted)) = self.in_force.front().copied() {
-            if version > least {
-                break;
-            }
-            self.in_force.pop_front();
-            self.report
-                .in_force_ms
-                .push(self.now.millis_since(accepted));
-        }
-    }
-
-    pub(crate) fn accepted_change(&mut self, version: u64) {
-        self.in_force.push_back((version, self.now));
-    }
-
     /// Checks that no two running hosts believe in the right to one shard.
     pub(crate) fn check_owners(&mut self, run: RunOf) {
         let hall = self.hosts[run.host].hall;
--- a/crates/lab/src/planning.rs
+++ b/crates/lab/src/planning.rs
@@ -1,11 +1,9 @@
 //! Plans the load and the events of a scenario.
 
-use gannetridge_core::{CallId, Host};
 use rand::Rng;
 
-use crate::control::ControlBytes;
 use crate::faults::FaultEvent;
-use crate::hosts::{shift, CallOf};
+use crate::hosts::shift;
 use crate::scenario::{Planned, CALLER_OFFSET_US};
 use crate::world::{Ev, World};
 
@@ -31,14 +29,6 @@
     pub(crate) fn plan(&mut self, planned: Planned) {
         let mut fault = |ms, fault| self.at_ms(ms, Ev::Fault(fault));
         match planned {
-            Planned::Burst {
-                from_ms,
-                to_ms,
-                factor,
-            } => {
-                fault(from_ms, FaultEvent::LoadFactor(factor));
-                fault(to_ms, FaultEvent::LoadFactor(1.0));
-            }
             Planned::Drain { at_ms } => fault(at_ms, FaultEvent::DrainHall(0)),
             Planned::CutHall { from_ms, to_ms } => {
                 fault(from_ms, FaultEvent::CutHall(0));
@@ -48,24 +38,6 @@
                 fault(from_ms, FaultEvent::PlatformOut);
                 fault(to_ms, FaultEvent::PlatformBack);
             }
-            Planned::SlowRunners { every, factor } => {
-                for runner in (0..self.runners.len()).step_by(every) {
-                    self.runners[runner].slower = factor;
-                }
-            }
-            Planned::DeadRunners { every, at_ms } => {
-                for runner in (0..self.runners.len()).step_by(every) {
-                    self.at_ms(at_ms, Ev::Fault(FaultEvent::KillRunner(runner)));
-                }
-            }
-            Planned::DeadHall { from_ms, to_ms } => {
-                for runner in 0..self.runners.len() {
-                    if self.runners[runner].hall == 0 {
-                        self.at_ms(from_ms, Ev::Fault(FaultEvent::KillRunner(runner)));
-                        self.at_ms(to_ms, Ev::Fault(FaultEvent::ReviveRunner(runner)));
-                    }
-                }
-            }
             Planned::KillHost { at_ms, back_ms } => {
                 let back_us = (back_ms - at_ms) * 1_000;
                 fault(at_ms, FaultEvent::KillHost(0, back_us));
@@ -81,7 +53,6 @@
                     self.at_ms(at_ms, Ev::Fault(FaultEvent::LeaveByList(runner)));
                 }
             }
-            Planned::Stragglers { .. } => {}
         }
     }
 
@@ -92,37 +63,4 @@
             .random_range(-CALLER_OFFSET_US..=CALLER_OFFSET_US);
         shift(self.now, offset).as_millis()
     }
-
-    /// Returns the number of calls that no host has a reply to.
-    #[must_use]
-    pub fn open_calls(&self) -> usize {
-        self.hosts.iter().map(|h| h.open.len()).sum()
-    }
-
-    /// Returns what all hosts have spent on control.
-    #[must_use]
-    pub fn control_bytes(&self) -> ControlBytes {
-        let mut sum = ControlBytes::default();
-        for host in &self.hosts {
-            sum.peers += host.control.peers;
-            sum.table += host.control.table;
-            sum.list += host.control.list;
-        }
-        sum
-    }
-
-    /// Returns one host's decisions.
-    #[must_use]
-    pub fn host(&self, index: usize) -> &Host {
-        &self.hosts[index].core
-    }
-
-    /// Returns a host's call number, for tests.
-    #[must_use]
-    pub fn call(&self, host: usize, call: u64) -> CallOf {
-        CallOf {
-            run: self.hosts[host].run_of(host),
-            call: CallId(call),
-        }
-    }
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -5,7 +5,6 @@
 use gannetridge_core::Waste;
 use gannetridge_wire::Name;
 use hdrhistogram::Histogram;
-use serde::Serialize;
 
 /// Histograms hold ratios in thousandths, up to this one.
 const HIGHEST: u64 = 10_000_000;
@@ -48,12 +47,8 @@
     pub refused: u64,
     /// Jobs completed after their deadline.
     pub late: u64,
-    /// Work of jobs answered in time while load came, in ms of one slot.
-    pub work_ms: u64,
     /// Response over ideal, all complete jobs.
     pub ratios: Ratios,
-    /// Response over ideal, jobs that fitted in the free slots.
-    pub fitting: Ratios,
 }
 
 /// What a run has counted and measured.
@@ -61,12 +56,8 @@
 pub struct Report {
     /// Events handled.
     pub events: u64,
-    /// Starts sent to runners.
-    pub starts: u64,
     /// Tasks begun.
     pub begun: u64,
-    /// Messages of any kind between hosts.
-    pub peer_messages: u64,
     /// Wasted messages by kind.
     pub wasted: BTreeMap<&'static str, u64>,
     /// By account.
@@ -83,14 +74,6 @@
     pub pending: u64,
     /// Final answers to one submission that differ, one of them `failed`.
     pub differing: u64,
-    /// Reads of the table.
-    pub table_reads: u64,
-    /// Writes of the table.
-    pub table_writes: u64,
-    /// Times from a change's acceptance to its being in force everywhere, ms.
-    pub in_force_ms: Vec<u64>,
-    /// Starts and wasted messages in each second.
-    pub curve: BTreeMap<u64, (u64, u64)>,
 }
 
 impl Report {
@@ -115,89 +98,8 @@
             total.failed += account.failed;
             total.refused += account.refused;
             total.late += account.late;
-            total.work_ms += account.work_ms;
             total.ratios.0 += &account.ratios.0;
-            total.fitting.0 += &account.fitting.0;
         }
         total
     }
 }
-
-/// A line of a table of results.
-#[derive(Clone, Debug, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Line {
-    /// What was run.
-    pub run: String,
-    /// Jobs submitted.
-    pub jobs: u64,
-    /// Jobs completed.
-    pub complete: u64,
-    /// Jobs failed.
-    pub failed: u64,
-    /// Requests refused.
-    pub refused: u64,
-    /// Response over ideal at the median.
-    pub p50: f64,
-    /// At 99 %.
-    pub p99: f64,
-    /// At 99.9 %.
-    pub p999: f64,
-    /// The same for jobs that fitted in the free slots.
-    pub fit_p50: f64,
-    /// At 99 %.
-    pub fit_p99: f64,
-    /// Wasted messages per 1,000 tasks begun.
-    pub wasted_per_1000: f64,
-    /// Starts sent per 1,000 tasks begun.
-    pub starts_per_1000: f64,
-}
-
-impl Line {
-    /// Makes a line from a run's report.
-    #[must_use]
-    pub fn new(run: impl Into<String>, report: &Report) -> Self {
-        let total = report.total();
-        let per_1000 = |n: u64| n as f64 * 1_000.0 / report.begun.max(1) as f64;
-        Self {
-            run: run.into(),
-            jobs: total.jobs,
-            complete: total.complete,
-            failed: total.failed,
-            refused: total.refused,
-            p50: total.ratios.at(0.5),
-            p99: total.ratios.at(0.99),
-            p999: total.ratios.at(0.999),
-            fit_p50: total.fitting.at(0.5),
-            fit_p99: total.fitting.at(0.99),
-            wasted_per_1000: per_1000(report.wasted_in_all()),
-            starts_per_1000: per_1000(report.starts),
-        }
-    }
-}
-
-/// Writes lines as a Markdown table.
-#[must_use]
-pub fn table(lines: &[Line]) -> String {
-    let mut text = String::from(
-        "| run | jobs | complete | failed | refused | p50 | p99 | p99.9 | fit p50 | fit p99 | wasted/1000 | starts/1000 |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n",
-    );
-    for l in lines {
-        text.push_str(&format!(
-            "| {} | {} | {} | {} | {} | {:.3} | {:.3} | {:.3} | {:.3} | {:.3} | {:.2} | {:.1} |\n",
-            l.run,
-            l.jobs,
-            l.complete,
-            l.failed,
-            l.refused,
-            l.p50,
-            l.p99,
-            l.p999,
-            l.fit_p50,
-            l.fit_p99,
-            l.wasted_per_1000,
-            l.starts_per_1000,
-        ));
-    }
-    text
-}
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -93,15 +93,6 @@
 /// Times of a planned event, in ms.
 #[derive(Clone, Copy, Debug)]
 pub enum Planned {
-    /// Jobs come `factor` times as often from `from_ms` to `to_ms`.
-    Burst {
-        /// Begin.
-        from_ms: u64,
-        /// End.
-        to_ms: u64,
-        /// How many times as often.
-        factor: f64,
-    },
     /// The first hall is being emptied.
     Drain {
         /// Begin.
@@ -121,27 +112,6 @@
         /// End.
         to_ms: u64,
     },
-    /// Every n-th runner takes `factor` times as long.
-    SlowRunners {
-        /// One in how many.
-        every: usize,
-        /// How many times as long.
-        factor: f64,
-    },
-    /// Every n-th runner is dead from `at_ms`.
-    DeadRunners {
-        /// One in how many.
-        every: usize,
-        /// Begin.
-        at_ms: u64,
-    },
-    /// All runners of the first hall are dead for a while.
-    DeadHall {
-        /// Begin.
-        from_ms: u64,
-        /// End.
-        to_ms: u64,
-    },
     /// One host dies and is started again later.
     KillHost {
         /// When it dies.
@@ -156,13 +126,6 @@
         /// Time from one to the next.
         every_ms: u64,
     },
-    /// One task in `every` takes `factor` times as long.
-    Stragglers {
-        /// One in how many.
-        every: u64,
-        /// How many times as long.
-        factor: f64,
-    },
     /// Every n-th runner is listed as leaving, and refuses nothing itself.
     LeavingByList {
         /// One in how many.
@@ -203,18 +166,6 @@
     pub safeguards: Safeguards,
 }
 
-/// The sizes that the users have today: three halls, 8 entry hosts (here 9,
-/// three a hall), 51 runners of 8 slots.
-#[must_use]
-pub fn sizes_of_today() -> Sizes {
-    Sizes {
-        halls: 3,
-        hosts: 3,
-        runners: 17,
-        slots: 8,
-    }
-}
-
 /// The delays of the first user.
 #[must_use]
 pub fn delays_of_today() -> Delays {
--- a/crates/lab/src/setup.rs
+++ b/crates/lab/src/setup.rs
@@ -8,7 +8,6 @@
 use gannetridge_wire::{HostId, Name};
 use rand::Rng;
 
-use crate::control::ControlBytes;
 use crate::hosts::{shift, Pulse, SimHost};
 use crate::runners::SimRunner;
 use crate::scenario::CLOCK_OFFSET_US;
@@ -69,7 +68,6 @@
             open: HashMap::new(),
             last_token: 0,
             config_version: 0,
-            control: ControlBytes::default(),
         });
     }
 
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -4,7 +4,6 @@
 use gannetridge_wire::platform::{ListedTarget, TableFailure, TableOp};
 use rand::Rng;
 
-use crate::control::platform_bytes;
 use crate::hosts::{CallKind, CallOf, Pulse, RunOf};
 use crate::platform::Fate;
 use crate::runners::SimRunner;
@@ -36,13 +35,7 @@
         self.hosts[call.run.host]
             .open
             .insert(call.call, CallKind::Table);
-        self.hosts[call.run.host].control.table += platform_bytes(&op, true);
         let write = matches!(op, TableOp::Commit { .. });
-        if write {
-            self.report.table_writes += 1;
-        } else {
-            self.report.table_reads += 1;
-        }
         let base = if write {
             self.scenario.delays.table_write
         } else {
@@ -74,7 +67,6 @@
     pub(crate) fn apply_table(&mut self, from: Option<CallOf>, op: &TableOp) {
         let result = self.platform.apply(op);
         if let Some(call) = from {
-            self.hosts[call.run.host].control.table += platform_bytes(&result, false);
             let delay = self.delay(self.scenario.delays.table_read / 2);
             self.at(delay, Ev::TableReply(call, Ok(result)));
         }
@@ -101,7 +93,6 @@
             return;
         }
         let list = self.platform.list.read(after);
-        self.hosts[run.host].control.list += platform_bytes(&list, true);
         let delay = self.delay(self.scenario.delays.table_read);
         self.at(delay, Ev::Deliver(run, Box::new(Event::Listed(list))));
     }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,6 +1,6 @@
 //! The driver: one queue of events, a clock, and everything that moves.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use gannetridge_core::{ChangeAnswer, Event, SendFailure};
 use gannetridge_wire::peer::{PeerReply, PeerRequest};
@@ -81,7 +81,8 @@
 pub(crate) struct OperatorChange {
     pub(crate) id: Name,
     pub(crate) denied: bool,
-    pub(crate) accepted: Option<(u64, Time)>,
+    /// The version that it was accepted at.
+    pub(crate) accepted: Option<u64>,
 }
 
 /// What is wrong with the network.
@@ -116,10 +117,8 @@
     pub(crate) changes: Vec<OperatorChange>,
     pub(crate) checks: Checks,
     pub(crate) report: Report,
-    pub(crate) load_factor: f64,
     /// Since when nothing is wrong that could delay news.
     pub(crate) calm_since: Time,
-    pub(crate) in_force: VecDeque<(u64, Time)>,
 }
 
 impl World {
@@ -143,9 +142,7 @@
             changes: Vec::new(),
             checks: Checks::default(),
             report: Report::default(),
-            load_factor: 1.0,
             calm_since: Time::ZERO,
-            in_force: VecDeque::new(),
             scenario,
         };
         world.build();
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,5 +1,5 @@
 # Starts stand-ins and entry hosts of three halls on loopback. To be read by
-# scripts that set `bin` and `demo`. Everything that it starts ends with them.
+# `demo.sh`, which sets `bin` and `demo`. Everything that it starts ends with them.
 
 logs=$(mktemp -d)
 pids=()
