--- a/crates/dispatch/tests/answers.rs
+++ b/crates/dispatcher-core/tests/answers.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use gannetridge_dispatch::event::{ListedHow, SendFailure};
-use gannetridge_dispatch::message::Request;
-use gannetridge_dispatch::{Answer, Event, TargetReply};
+use gannetridge_dispatcher_core::event::{ListedHow, SendFailure};
+use gannetridge_dispatcher_core::message::Request;
+use gannetridge_dispatcher_core::{Answer, Event, TargetReply};
 use support::{case, ended, peer_info, step, target, Rig};
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -99,10 +99,13 @@
     let starts = rig.starts();
     for (call, _, _) in &starts {
         let clock = rig.now + 500_000;
-        rig.target_reply(*call, gannetridge_dispatch::TargetReply::Done { clock });
+        rig.target_reply(
+            *call,
+            gannetridge_dispatcher_core::TargetReply::Done { clock },
+        );
     }
     rig.event(Event::CallerGone {
-        token: gannetridge_dispatch::Token(1),
+        token: gannetridge_dispatcher_core::Token(1),
     });
     assert_eq!(rig.stops().len(), 2);
     assert!(rig.answers.is_empty());
@@ -129,12 +132,12 @@
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 2_000);
     let first = rig.starts().remove(0).2;
     rig.event(Event::CallerGone {
-        token: gannetridge_dispatch::Token(1),
+        token: gannetridge_dispatcher_core::Token(1),
     });
     rig.pass(1_300);
     rig.submit(2, ID, vec![step(1, 7_000, 900)], 2_000);
     rig.event(Event::TargetsChanged(vec![
-        gannetridge_dispatch::event::TargetChange::There(target("other", 16)),
+        gannetridge_dispatcher_core::event::TargetChange::There(target("other", 16)),
     ]));
     rig.pass(50);
     for (call, _) in rig.holds() {
--- a/crates/dispatch/tests/assignment.rs
+++ b/crates/dispatcher-core/tests/assignment.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use gannetridge_dispatch::assignment::keeper;
-use gannetridge_dispatch::message::HostInfo;
+use gannetridge_dispatcher_core::assignment::keeper;
+use gannetridge_dispatcher_core::message::HostInfo;
 
 fn hosts(powers: &[u32]) -> Vec<HostInfo> {
     let hosts = powers.iter().enumerate();
--- a/crates/dispatch/tests/bounds.rs
+++ b/crates/dispatcher-core/tests/bounds.rs
@@ -1,7 +1,7 @@
 //! Times that follow from a deployment's bounds.
 
-use gannetridge_dispatch::settings::on_true_clock;
-use gannetridge_dispatch::{Bounds, BoundsError};
+use gannetridge_dispatcher_core::settings::on_true_clock;
+use gannetridge_dispatcher_core::{Bounds, BoundsError};
 
 fn bounds(retransmit_ms: u64, max_hold_ms: u64, stop_grace_ms: u64) -> Bounds {
     Bounds {
--- a/crates/dispatch/tests/keeping.rs
+++ b/crates/dispatcher-core/tests/keeping.rs
@@ -2,13 +2,13 @@
 
 mod support;
 
-use gannetridge_dispatch::event::{ListedHow, SendFailure, TargetChange};
-use gannetridge_dispatch::{Event, TargetReply};
+use gannetridge_dispatcher_core::event::{ListedHow, SendFailure, TargetChange};
+use gannetridge_dispatcher_core::{Event, TargetReply};
 use support::{case, ended, step, target, Rig};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-fn started(rig: &mut Rig, id: &str) -> gannetridge_dispatch::message::RunKey {
+fn started(rig: &mut Rig, id: &str) -> gannetridge_dispatcher_core::message::RunKey {
     rig.submit(1, id, vec![step(1, 7_000, 300)], 3_000);
     let (call, _, key) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
@@ -24,7 +24,7 @@
         rig.pass(1_000);
         let (call, until) = rig.holds().remove(0);
         assert_eq!(until, None, "nobody vouches for what it finds");
-        let unknown = gannetridge_dispatch::message::RunKey {
+        let unknown = gannetridge_dispatcher_core::message::RunKey {
             task: "00000000000000aa.0.0.0".into(),
             run: 1,
         };
@@ -69,7 +69,7 @@
     assert_eq!(until, None, "another may have started something there");
     // A listing from before the other host took it tells nothing.
     rig.listing(old, std::slice::from_ref(&key), &[]);
-    let other = gannetridge_dispatch::message::RunKey {
+    let other = gannetridge_dispatcher_core::message::RunKey {
         task: "00000000000000aa.0.0.0".into(),
         run: 1,
     };
@@ -136,7 +136,7 @@
             rig.listing(called.call, &[], &ends);
         }
         rig.event(Event::CallerGone {
-            token: gannetridge_dispatch::Token(number as u64),
+            token: gannetridge_dispatcher_core::Token(number as u64),
         });
         rig.starts();
     }
--- a/crates/dispatch/tests/many_peers.rs
+++ b/crates/dispatcher-core/tests/many_peers.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use gannetridge_dispatch::message::{ReplyBody, Request};
-use gannetridge_dispatch::{Event, Millis};
+use gannetridge_dispatcher_core::message::{ReplyBody, Request};
+use gannetridge_dispatcher_core::{Event, Millis};
 use support::{case, peer_info, step, Rig};
 
 const ID: &str = "5c0e7a21d94b36f8";
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatcher-core/tests/messages.rs
@@ -4,12 +4,12 @@
 
 use std::fmt::Write;
 
-use gannetridge_dispatch::message::{
+use gannetridge_dispatcher_core::message::{
     Beat, BeatReply, Echo, End, Envelope, FreeRoom, HostInfo, Rank, Reply, ReplyBody, Request,
     RunEnd, RunKey, TaskOrder, Urge, Want,
 };
-use gannetridge_dispatch::queues::{Queue, Queues};
-use gannetridge_dispatch::spec::Room;
+use gannetridge_dispatcher_core::queues::{Queue, Queues};
+use gannetridge_dispatcher_core::spec::Room;
 use gannetridge_wire::codec;
 
 /// Declares tests, each a name and the message that its snapshot holds.
--- a/crates/dispatch/tests/peers.rs
+++ b/crates/dispatcher-core/tests/peers.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use gannetridge_dispatch::event::SendFailure;
-use gannetridge_dispatch::message::{ReplyBody, Request, RunKey, TaskOrder};
-use gannetridge_dispatch::{Answer, Event, TargetReply};
+use gannetridge_dispatcher_core::event::SendFailure;
+use gannetridge_dispatcher_core::message::{ReplyBody, Request, RunKey, TaskOrder};
+use gannetridge_dispatcher_core::{Answer, Event, TargetReply};
 use support::{case, peer_info, step, target, Rig};
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -144,7 +144,7 @@
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
     let wants = rig.requests(|request| matches!(request, Request::Want(Some(_))));
     assert_eq!(wants.len(), 1);
-    let free = gannetridge_dispatch::message::FreeRoom {
+    let free = gannetridge_dispatcher_core::message::FreeRoom {
         pool: "pool".into(),
         room: support::room(8_000),
     };
@@ -165,7 +165,7 @@
         rig.pass(200);
         let beats = rig.requests(|request| matches!(request, Request::Beat(_)));
         let mut reply = rig.reply(
-            ReplyBody::Beat(gannetridge_dispatch::message::BeatReply {
+            ReplyBody::Beat(gannetridge_dispatcher_core::message::BeatReply {
                 leaving: false,
                 version: 1,
                 kept: Vec::new(),
@@ -197,7 +197,11 @@
     );
     rig.pass(20);
     let hold = rig.holds().remove(0);
-    let end = support::ended(1, &order.key, gannetridge_dispatch::event::ListedHow::Done);
+    let end = support::ended(
+        1,
+        &order.key,
+        gannetridge_dispatcher_core::event::ListedHow::Done,
+    );
     rig.listing(hold.0, &[], &[end]);
     let ended = |request: &Request| matches!(request, Request::Ended(_));
     let told = rig.requests(ended);
--- a/crates/dispatch/tests/stopping.rs
+++ b/crates/dispatcher-core/tests/stopping.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use gannetridge_dispatch::event::ListedHow;
-use gannetridge_dispatch::{Answer, Event, TargetReply};
+use gannetridge_dispatcher_core::event::ListedHow;
+use gannetridge_dispatcher_core::{Answer, Event, TargetReply};
 use support::{case, ended, step, target, Rig};
 
 const ID: &str = "5c0e7a21d94b36f8";
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatcher-core/tests/support/mod.rs
@@ -1,13 +1,13 @@
 //! One host with scripted surroundings.
 #![allow(dead_code)]
 
-use gannetridge_dispatch::event::{ListedEnd, ListedHow, Submit, TargetEntry};
-use gannetridge_dispatch::message::{
+use gannetridge_dispatcher_core::event::{ListedEnd, ListedHow, Submit, TargetEntry};
+use gannetridge_dispatcher_core::message::{
     BeatReply, Envelope, FreeRoom, HostInfo, Reply, ReplyBody, Request, RunKey,
 };
-use gannetridge_dispatch::queues::{Queue, Queues};
-use gannetridge_dispatch::spec::{JobSpec, Room, StepSpec};
-use gannetridge_dispatch::{
+use gannetridge_dispatcher_core::queues::{Queue, Queues};
+use gannetridge_dispatcher_core::spec::{JobSpec, Room, StepSpec};
+use gannetridge_dispatcher_core::{
     Action, Answer, Bounds, CallId, Dispatcher, Event, Millis, Settings, TargetCall, TargetReply,
     Token,
 };
@@ -112,7 +112,7 @@
             seeds: Vec::new(),
             bounds: BOUNDS,
             epoch_ms: 1_760_000_000_000,
-            safeguards: gannetridge_dispatch::Safeguards::default(),
+            safeguards: gannetridge_dispatcher_core::Safeguards::default(),
         };
         let mut rig = Self {
             host: Dispatcher::new(settings).unwrap(),
@@ -315,7 +315,7 @@
                 ..peer_info()
             },
             session,
-            echo: Some(gannetridge_dispatch::message::Echo {
+            echo: Some(gannetridge_dispatcher_core::message::Echo {
                 incarnation: 5,
                 clock: self.now,
             }),
--- a/crates/dispatch-lab/src/callers.rs
+++ b/crates/dispatcher-sim/src/callers.rs
@@ -1,8 +1,8 @@
 //! Callers that wait, leave, and come again.
 
-use gannetridge_dispatch::event::Submit;
-use gannetridge_dispatch::spec::{JobSpec, Room, StepSpec};
-use gannetridge_dispatch::Millis;
+use gannetridge_dispatcher_core::event::Submit;
+use gannetridge_dispatcher_core::spec::{JobSpec, Room, StepSpec};
+use gannetridge_dispatcher_core::Millis;
 use gannetridge_wire::Name;
 use rand::Rng;
 use rand_pcg::Pcg64;
--- a/crates/dispatch-lab/src/checks.rs
+++ b/crates/dispatcher-sim/src/checks.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gannetridge_dispatch::event::ListedHow;
-use gannetridge_dispatch::message::RunKey;
-use gannetridge_dispatch::{Answer, Millis};
+use gannetridge_dispatcher_core::event::ListedHow;
+use gannetridge_dispatcher_core::message::RunKey;
+use gannetridge_dispatcher_core::{Answer, Millis};
 use gannetridge_wire::Name;
 
 /// A promise that was broken.
--- a/crates/dispatch-lab/src/faults.rs
+++ b/crates/dispatcher-sim/src/faults.rs
@@ -1,6 +1,6 @@
 //! What goes wrong, and when.
 
-use gannetridge_dispatch::Millis;
+use gannetridge_dispatcher_core::Millis;
 use rand::Rng;
 use rand_pcg::Pcg64;
 
--- a/crates/dispatch-lab/src/lib.rs
+++ b/crates/dispatcher-sim/src/lib.rs
@@ -1,4 +1,4 @@
-//! A small seeded driver around [`gannetridge_dispatch::Dispatcher`]: several
+//! A small seeded driver around [`gannetridge_dispatcher_core::Dispatcher`]: several
 //! hosts in one process, targets with tokens, holds and clocks of their own,
 //! callers that leave and come again, and faults of every kind that the users
 //! name. The same seed gives the same run.
--- a/crates/dispatch-lab/src/scenario.rs
+++ b/crates/dispatcher-sim/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_dispatch::{Bounds, Millis, Safeguards};
+use gannetridge_dispatcher_core::{Bounds, Millis, Safeguards};
 
 use crate::checks::Violation;
 use crate::world::World;
--- a/crates/dispatch-lab/src/target.rs
+++ b/crates/dispatcher-sim/src/target.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_dispatch::event::{ListedEnd, ListedHow, TargetEntry, TargetReply};
-use gannetridge_dispatch::message::RunKey;
-use gannetridge_dispatch::spec::Room;
-use gannetridge_dispatch::{Millis, RunOrder};
+use gannetridge_dispatcher_core::event::{ListedEnd, ListedHow, TargetEntry, TargetReply};
+use gannetridge_dispatcher_core::message::RunKey;
+use gannetridge_dispatcher_core::spec::Room;
+use gannetridge_dispatcher_core::{Millis, RunOrder};
 use gannetridge_wire::Name;
 
 /// How a target misbehaves.
--- a/crates/dispatch-lab/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -9,11 +9,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
-use gannetridge_dispatch::event::{TargetChange, TargetEntry};
-use gannetridge_dispatch::message::{Envelope, HostInfo, Reply};
-use gannetridge_dispatch::queues::{Queue, Queues};
-use gannetridge_dispatch::spec::Room;
-use gannetridge_dispatch::{
+use gannetridge_dispatcher_core::event::{TargetChange, TargetEntry};
+use gannetridge_dispatcher_core::message::{Envelope, HostInfo, Reply};
+use gannetridge_dispatcher_core::queues::{Queue, Queues};
+use gannetridge_dispatcher_core::spec::Room;
+use gannetridge_dispatcher_core::{
     Action, Answer, CallId, Dispatcher, Event, Millis, RunOrder, SendFailure, Settings, TargetCall,
     TargetReply, Token,
 };
--- a/crates/dispatch-lab/src/world/trouble.rs
+++ b/crates/dispatcher-sim/src/world/trouble.rs
@@ -172,7 +172,7 @@
         let id = target.entry.id.clone();
         let keys: Vec<_> = target.runs.keys().cloned().collect();
         for key in keys {
-            let how = gannetridge_dispatch::event::ListedHow::Ended;
+            let how = gannetridge_dispatcher_core::event::ListedHow::Ended;
             self.checks.ended(&id, &key, how);
         }
         self.at(self.now + LAPSE_MS, Happening::Lapse(id));
--- a/crates/dispatcher/src/caller_api.rs
+++ b/crates/dispatcher/src/caller_api.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use gannetridge_dispatch::{Answer, Event, Token};
+use gannetridge_dispatcher_core::{Answer, Event, Token};
 use gannetridge_net::{HttpReply, HttpRequest};
 use local_sync::oneshot;
 
--- a/crates/dispatcher/src/core_task.rs
+++ b/crates/dispatcher/src/core_task.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use gannetridge_dispatch::message::{Envelope, Reply};
-use gannetridge_dispatch::{Action, Answer, Dispatcher, Event, Millis, SendFailure, Token};
+use gannetridge_dispatcher_core::message::{Envelope, Reply};
+use gannetridge_dispatcher_core::{Action, Answer, Dispatcher, Event, Millis, SendFailure, Token};
 use gannetridge_net::Client;
 use local_sync::{mpsc::unbounded, oneshot};
 use monoio::time::timeout;
--- a/crates/dispatcher/src/decision_log.rs
+++ b/crates/dispatcher/src/decision_log.rs
@@ -3,7 +3,7 @@
 //! Operators and `gannetridge story` read these names, and `docs/OPERATIONS.md`
 //! lists them. Other modules log what concerns the process itself.
 
-use gannetridge_dispatch::Note;
+use gannetridge_dispatcher_core::Note;
 use tracing::info;
 
 use crate::metrics::end_name;
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,4 +1,4 @@
-//! The process around [`gannetridge_dispatch::Dispatcher`]: sockets, timers,
+//! The process around [`gannetridge_dispatcher_core::Dispatcher`]: sockets, timers,
 //! the platform's store, logs and metrics.
 //!
 //! What the platform is like, this crate doesn't know: it is given an
--- a/crates/dispatcher/src/metrics.rs
+++ b/crates/dispatcher/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters, gauges and latency histograms.
 
-use gannetridge_dispatch::message::End;
-use gannetridge_dispatch::note::Cause;
-use gannetridge_dispatch::{Dispatcher, Millis, Note};
+use gannetridge_dispatcher_core::message::End;
+use gannetridge_dispatcher_core::note::Cause;
+use gannetridge_dispatcher_core::{Dispatcher, Millis, Note};
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter, MeterProvider};
 use opentelemetry::KeyValue;
 use opentelemetry_sdk::metrics::SdkMeterProvider;
--- a/crates/dispatcher/src/outside.rs
+++ b/crates/dispatcher/src/outside.rs
@@ -5,10 +5,12 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use gannetridge_dispatch::event::{SendFailure, Submit, TargetChange, TargetEntry, TargetReply};
-use gannetridge_dispatch::message::HostInfo;
-use gannetridge_dispatch::queues::Queues;
-use gannetridge_dispatch::{Answer, Millis, TargetCall};
+use gannetridge_dispatcher_core::event::{
+    SendFailure, Submit, TargetChange, TargetEntry, TargetReply,
+};
+use gannetridge_dispatcher_core::message::HostInfo;
+use gannetridge_dispatcher_core::queues::Queues;
+use gannetridge_dispatcher_core::{Answer, Millis, TargetCall};
 use gannetridge_net::{HttpReply, HttpRequest};
 use gannetridge_wire::Name;
 use thiserror::Error;
--- a/crates/dispatcher/src/peer_api.rs
+++ b/crates/dispatcher/src/peer_api.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gannetridge_dispatch::message::{Envelope, Reply};
-use gannetridge_dispatch::{Millis, SendFailure};
+use gannetridge_dispatcher_core::message::{Envelope, Reply};
+use gannetridge_dispatcher_core::{Millis, SendFailure};
 use gannetridge_net::{CallError, Client, HttpReply, HttpRequest};
 use gannetridge_wire::codec;
 use http::{Method, StatusCode};
--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -6,7 +6,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::Context;
-use gannetridge_dispatch::{Dispatcher, Millis, Safeguards};
+use gannetridge_dispatcher_core::{Dispatcher, Millis, Safeguards};
 use gannetridge_net::{bind, serve, Client, ClientLimits, HttpReply, HttpRequest, ServerLimits};
 use http::StatusCode;
 use local_sync::mpsc::unbounded;
@@ -59,7 +59,7 @@
             return None;
         }
         self.next_look = now + LOOK_MS;
-        let read: Settings = match gannetridge_config::settings::read(&self.path) {
+        let read: Settings = match gannetridge_process::settings::read(&self.path) {
             Ok(read) => read,
             Err(error) => {
                 warn!(event = "reload-failed", error = %format!("{error:#}"));
@@ -88,7 +88,7 @@
     let started = Instant::now();
     let epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let epoch_ms = epoch.map_or(0, |since| since.as_millis() as u64);
-    let dispatcher = Dispatcher::new(gannetridge_dispatch::Settings {
+    let dispatcher = Dispatcher::new(gannetridge_dispatcher_core::Settings {
         name: settings.name.clone(),
         address: settings.peers,
         hall: settings.hall.clone(),
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use gannetridge_dispatch::Bounds;
+use gannetridge_dispatcher_core::Bounds;
 use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 
--- a/crates/dispatcher/src/store_task.rs
+++ b/crates/dispatcher/src/store_task.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gannetridge_dispatch::message::HostInfo;
-use gannetridge_dispatch::{Event, Millis};
+use gannetridge_dispatcher_core::message::HostInfo;
+use gannetridge_dispatcher_core::{Event, Millis};
 use tracing::{info, warn};
 
 use crate::core_task::{Message, Sender};
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use gannetridge_dispatch::Millis;
+use gannetridge_dispatcher_core::Millis;
 use opentelemetry::metrics::{Counter, Meter};
 use opentelemetry::KeyValue;
 use tracing::info;
--- a/crates/dispatcher/tests/told.rs
+++ b/crates/dispatcher/tests/told.rs
@@ -4,12 +4,12 @@
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
-use gannetridge_dispatch::message::{End, RunKey};
-use gannetridge_dispatch::note::Cause;
-use gannetridge_dispatch::{Bounds, Dispatcher, Note, Safeguards, Settings};
 use gannetridge_dispatcher::decision_log;
 use gannetridge_dispatcher::metrics::Metrics;
 use gannetridge_dispatcher::traffic::{Traffic, Way};
+use gannetridge_dispatcher_core::message::{End, RunKey};
+use gannetridge_dispatcher_core::note::Cause;
+use gannetridge_dispatcher_core::{Bounds, Dispatcher, Note, Safeguards, Settings};
 use serde_json::Value;
 
 /// Collects what is written to the log.
--- a/crates/call/src/job.rs
+++ b/crates/entry-call/src/job.rs
@@ -3,8 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use gannetridge_wire::submission::ParameterValue;
-use gannetridge_wire::{Name, Submission, SubmissionId, SubmissionIdError, TaskSpec};
+use gannetridge_entry_wire::submission::ParameterValue;
+use gannetridge_entry_wire::{Submission, SubmissionId, SubmissionIdError, TaskSpec};
+use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/crates/call/src/main.rs
+++ b/crates/entry-call/src/main.rs
@@ -5,10 +5,10 @@
 use std::process::ExitCode;
 
 use anyhow::Context;
-use gannetridge_call::job::attempt_now;
-use gannetridge_call::{CallerSettings, JobFile, Reply, Sender};
+use gannetridge_entry_call::job::attempt_now;
+use gannetridge_entry_call::{CallerSettings, JobFile, Reply, Sender};
+use gannetridge_entry_wire::{Submission, SubmissionId};
 use gannetridge_net::runtime;
-use gannetridge_wire::{Submission, SubmissionId};
 use gumdrop::Options;
 use rand::Rng;
 
@@ -46,7 +46,7 @@
         .settings
         .as_ref()
         .context("--settings FILE is needed")?;
-    let settings: CallerSettings = gannetridge_config::settings::read(path)?;
+    let settings: CallerSettings = gannetridge_process::settings::read(path)?;
     if arguments.print_settings {
         println!("{}", serde_json::to_string_pretty(&settings)?);
         return Ok(true);
--- a/crates/call/src/send.rs
+++ b/crates/entry-call/src/send.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use gannetridge_entry_wire::Submission;
 use gannetridge_net::{CallError, Client, ClientLimits};
-use gannetridge_wire::Submission;
 use http::{Method, StatusCode};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
--- a/crates/config/src/account.rs
+++ b/crates/entry-config/src/account.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_wire::submission::ParameterValue;
+use gannetridge_entry_wire::submission::ParameterValue;
 use gannetridge_wire::Name;
 use toml::{Table, Value};
 
--- a/crates/config/src/document.rs
+++ b/crates/entry-config/src/document.rs
@@ -157,7 +157,7 @@
 fn check_template(
     file: &str,
     name: &str,
-    values: &BTreeMap<String, gannetridge_wire::submission::ParameterValue>,
+    values: &BTreeMap<String, gannetridge_entry_wire::submission::ParameterValue>,
     others: &BTreeMap<DocumentKey, Document>,
     faults: &mut Vec<Fault>,
 ) {
--- a/crates/config/src/lib.rs
+++ b/crates/entry-config/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod check;
 pub mod document;
 pub mod hall;
-pub mod settings;
 pub mod template;
 
 pub use account::{Account, Urgency};
--- a/crates/config/src/template.rs
+++ b/crates/entry-config/src/template.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_wire::submission::{ParameterValue, MAX_TASKS};
+use gannetridge_entry_wire::submission::{ParameterValue, MAX_TASKS};
 use toml::{Table, Value};
 
 use crate::check::{show, Checker, Fault};
--- a/crates/config/tests/bad_input.rs
+++ b/crates/entry-config/tests/bad_input.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_config::{Document, DocumentKey, Kind};
+use gannetridge_entry_config::{Document, DocumentKey, Kind};
 
 /// Declares tests, each a name, a kind and a bad document.
 macro_rules! bad_documents {
--- a/crates/core/src/action.rs
+++ b/crates/entry-core/src/action.rs
@@ -1,10 +1,11 @@
 //! What a host wants done.
 
-use gannetridge_config::Urgency;
-use gannetridge_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_wire::platform::TableOp;
-use gannetridge_wire::target::{AskTask, StartTask};
-use gannetridge_wire::{Answer, Name};
+use gannetridge_entry_config::Urgency;
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
+use gannetridge_entry_wire::platform::TableOp;
+use gannetridge_entry_wire::target::{AskTask, StartTask};
+use gannetridge_entry_wire::Answer;
+use gannetridge_wire::Name;
 
 use crate::event::{CallId, ChangeAnswer, Token};
 
--- a/crates/core/src/admission.rs
+++ b/crates/entry-core/src/admission.rs
@@ -1,6 +1,6 @@
 //! Whether a whole job can be finished before its deadline.
 
-use gannetridge_wire::Time;
+use gannetridge_entry_wire::Time;
 
 /// Part of the time left that a job's estimate may use.
 const MARGIN: f64 = 0.95;
--- a/crates/core/src/config_store.rs
+++ b/crates/entry-core/src/config_store.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use gannetridge_config::hall::HallState;
-use gannetridge_config::{Account, Document, DocumentKey, Kind, Template};
-use gannetridge_wire::peer::{ConfigDoc, ConfigSnapshot};
+use gannetridge_entry_config::hall::HallState;
+use gannetridge_entry_config::{Account, Document, DocumentKey, Kind, Template};
+use gannetridge_entry_wire::peer::{ConfigDoc, ConfigSnapshot};
 use gannetridge_wire::Name;
 
 /// Prefix of the keys of configuration rows.
--- a/crates/core/src/directory.rs
+++ b/crates/entry-core/src/directory.rs
@@ -2,9 +2,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use gannetridge_wire::hall::HallRow;
-use gannetridge_wire::peer::Status;
-use gannetridge_wire::{Epoch, HostId, Name, ShardId};
+use gannetridge_entry_wire::hall::HallRow;
+use gannetridge_entry_wire::peer::Status;
+use gannetridge_entry_wire::{Epoch, HostId, ShardId};
+use gannetridge_wire::Name;
 
 /// What was last heard of a shard's holder.
 #[derive(Clone, Debug)]
--- a/crates/core/src/event.rs
+++ b/crates/entry-core/src/event.rs
@@ -1,10 +1,11 @@
 //! What happens to a host.
 
-use gannetridge_config::DocumentKey;
-use gannetridge_wire::peer::{ConfigDoc, PeerReply, PeerRequest};
-use gannetridge_wire::platform::{HostList, TableFailure, TableResult};
-use gannetridge_wire::target::TaskReport;
-use gannetridge_wire::{Name, Submission};
+use gannetridge_entry_config::DocumentKey;
+use gannetridge_entry_wire::peer::{ConfigDoc, PeerReply, PeerRequest};
+use gannetridge_entry_wire::platform::{HostList, TableFailure, TableResult};
+use gannetridge_entry_wire::target::TaskReport;
+use gannetridge_entry_wire::Submission;
+use gannetridge_wire::Name;
 
 /// Stands for a request that the shell has read and will answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -45,7 +46,7 @@
         version: u64,
     },
     /// The document has faults.
-    Faulty(gannetridge_config::Faults),
+    Faulty(gannetridge_entry_config::Faults),
     /// Another change came first; nothing was written.
     Conflict {
         /// The document as it stands, if there is one.
--- a/crates/core/src/health.rs
+++ b/crates/entry-core/src/health.rs
@@ -1,6 +1,6 @@
 //! How far one target is trusted, learnt from the answers to its tasks.
 
-use gannetridge_wire::Time;
+use gannetridge_entry_wire::Time;
 
 use crate::charts::{TargetEvent, TargetState, TARGET};
 
--- a/crates/core/src/host/ask.rs
+++ b/crates/entry-core/src/host/ask.rs
@@ -1,8 +1,8 @@
 //! Asks targets what became of tasks whose connection broke, and stops
 //! stragglers.
 
-use gannetridge_wire::target::AskTask;
-use gannetridge_wire::FailureCause;
+use gannetridge_entry_wire::target::AskTask;
+use gannetridge_entry_wire::FailureCause;
 
 use super::run::{RunningTask, ASK_WAIT_MS, LAST_ASK_MS};
 use super::timers::Timer;
--- a/crates/core/src/host/borrow.rs
+++ b/crates/entry-core/src/host/borrow.rs
@@ -2,8 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use gannetridge_wire::peer::{Grant, PeerReply, PeerRequest, Spare};
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_wire::peer::{Grant, PeerReply, PeerRequest, Spare};
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 use rand::Rng;
 
 use super::timers::Timer;
--- a/crates/core/src/host/configure.rs
+++ b/crates/entry-core/src/host/configure.rs
@@ -1,9 +1,12 @@
 //! Follows the configuration, and carries operators' changes to the table.
 
-use gannetridge_config::{Document, DocumentKey, Faults};
-use gannetridge_wire::peer::{ConfigDoc, ConfigSnapshot, PeerReply, PeerRequest};
-use gannetridge_wire::platform::{Check, HostList, Row, TableFailure, TableOp, TableResult, Write};
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_config::{Document, DocumentKey, Faults};
+use gannetridge_entry_wire::peer::{ConfigDoc, ConfigSnapshot, PeerReply, PeerRequest};
+use gannetridge_entry_wire::platform::{
+    Check, HostList, Row, TableFailure, TableOp, TableResult, Write,
+};
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 
 use super::timers::Timer;
--- a/crates/core/src/host/ends.rs
+++ b/crates/entry-core/src/host/ends.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use gannetridge_wire::answer::Refusal;
-use gannetridge_wire::{Answer, FailureCause, Ran};
+use gannetridge_entry_wire::answer::Refusal;
+use gannetridge_entry_wire::{Answer, FailureCause, Ran};
 
 use super::run::LAST_ASK_MS;
 use super::timers::Timer;
--- a/crates/core/src/host/forward.rs
+++ b/crates/entry-core/src/host/forward.rs
@@ -1,7 +1,8 @@
 //! Passes callers' submissions to the holder of their shard.
 
-use gannetridge_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_wire::{Answer, Name, ShardId, Submission};
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
+use gannetridge_entry_wire::{Answer, ShardId, Submission};
+use gannetridge_wire::Name;
 
 use super::timers::Timer;
 use super::{Call, Host};
--- a/crates/core/src/host/gossip.rs
+++ b/crates/entry-core/src/host/gossip.rs
@@ -2,8 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use gannetridge_wire::peer::{PeerReply, PeerRequest, PromiseRequest, Status};
-use gannetridge_wire::{HostId, Name, Time};
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest, PromiseRequest, Status};
+use gannetridge_entry_wire::{HostId, Time};
+use gannetridge_wire::Name;
 
 use super::borrow::Lender;
 use super::{Call, Host};
--- a/crates/core/src/host/handover.rs
+++ b/crates/entry-core/src/host/handover.rs
@@ -3,8 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use gannetridge_wire::peer::{Handover, LedgerRecord, PeerReply, PeerRequest};
-use gannetridge_wire::{Answer, FailureCause, Name, Ran, Submission};
+use gannetridge_entry_wire::peer::{Handover, LedgerRecord, PeerReply, PeerRequest};
+use gannetridge_entry_wire::{Answer, FailureCause, Ran, Submission};
+use gannetridge_wire::Name;
 
 use super::timers::Timer;
 use super::{Call, Host};
@@ -138,7 +139,7 @@
 
     /// Finds a host for a stopping host's shards when the row names none that
     /// is alive: it may not have been written for long.
-    fn heir_in_outage(&self) -> Option<(u16, gannetridge_wire::HostId, Name)> {
+    fn heir_in_outage(&self) -> Option<(u16, gannetridge_entry_wire::HostId, Name)> {
         if !self.stopping {
             return None;
         }
@@ -227,7 +228,7 @@
             self.ownership.declined(shard);
             if let Some(peer) = self.peers.get_mut(&current.address) {
                 // Not heard, so that the next offer looks elsewhere.
-                peer.heard = gannetridge_wire::Time::ZERO;
+                peer.heard = gannetridge_entry_wire::Time::ZERO;
             }
             self.after(DECLINED_PAUSE_MS, Timer::Handover);
         }
--- a/crates/core/src/host/lend.rs
+++ b/crates/entry-core/src/host/lend.rs
@@ -2,8 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_wire::peer::{PeerReply, Spare};
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_wire::peer::{PeerReply, Spare};
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 
 use super::timers::Timer;
 use super::Host;
--- a/crates/core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -23,9 +23,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use gannetridge_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_wire::platform::{HostList, TableOp};
-use gannetridge_wire::{Answer, Name, Time};
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
+use gannetridge_entry_wire::platform::{HostList, TableOp};
+use gannetridge_entry_wire::{Answer, Time};
+use gannetridge_wire::Name;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
--- a/crates/core/src/host/owner.rs
+++ b/crates/entry-core/src/host/owner.rs
@@ -1,8 +1,8 @@
 //! Keeps this host's lease on its hall's shards, and takes over from hosts
 //! that are gone.
 
-use gannetridge_wire::hall::{hall_key, HallRow, HALL_PREFIX};
-use gannetridge_wire::platform::{Check, Row, TableFailure, TableOp, TableResult, Write};
+use gannetridge_entry_wire::hall::{hall_key, HallRow, HALL_PREFIX};
+use gannetridge_entry_wire::platform::{Check, Row, TableFailure, TableOp, TableResult, Write};
 use gannetridge_wire::Name;
 
 use super::{Call, Host};
--- a/crates/core/src/host/quotas.rs
+++ b/crates/entry-core/src/host/quotas.rs
@@ -7,10 +7,11 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_config::Account;
-use gannetridge_wire::ids::SHARDS_PER_HALL;
-use gannetridge_wire::peer::Status;
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_config::Account;
+use gannetridge_entry_wire::ids::SHARDS_PER_HALL;
+use gannetridge_entry_wire::peer::Status;
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 
 use super::gossip::{Peer, SILENCE_MS};
 use super::Host;
--- a/crates/core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -1,7 +1,8 @@
 //! Starts tasks on targets and takes their results.
 
-use gannetridge_wire::target::{StartRefusal, StartTask, TaskReport};
-use gannetridge_wire::{FailureCause, Name, TaskId, Time};
+use gannetridge_entry_wire::target::{StartRefusal, StartTask, TaskReport};
+use gannetridge_entry_wire::{FailureCause, TaskId, Time};
+use gannetridge_wire::Name;
 
 use super::timers::Timer;
 use super::Host;
@@ -202,7 +203,7 @@
         let lease_ms = (expected_ms * tuning.lease_factor).clamp(LEAST_LEASE_MS, longest_ms);
         StartTask {
             task: job.task_id(index),
-            shard: gannetridge_wire::ShardId {
+            shard: gannetridge_entry_wire::ShardId {
                 hall: self.settings.hall.clone(),
                 index: job.authority.shard,
             },
--- a/crates/core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use gannetridge_config::Account;
-use gannetridge_wire::answer::Refusal;
-use gannetridge_wire::peer::PeerReply;
-use gannetridge_wire::submission::ParameterValue;
-use gannetridge_wire::{Answer, FailureCause, Ran, Rejection, Submission, Time};
+use gannetridge_entry_config::Account;
+use gannetridge_entry_wire::answer::Refusal;
+use gannetridge_entry_wire::peer::PeerReply;
+use gannetridge_entry_wire::submission::ParameterValue;
+use gannetridge_entry_wire::{Answer, FailureCause, Ran, Rejection, Submission, Time};
 
 use super::timers::Timer;
 use super::Host;
--- a/crates/core/src/host/timers.rs
+++ b/crates/entry-core/src/host/timers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use gannetridge_wire::platform::TableOp;
-use gannetridge_wire::Time;
+use gannetridge_entry_wire::platform::TableOp;
+use gannetridge_entry_wire::Time;
 use rand::Rng;
 
 use super::{Call, Host};
--- a/crates/core/src/job.rs
+++ b/crates/entry-core/src/job.rs
@@ -3,10 +3,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use gannetridge_config::Account;
-use gannetridge_wire::answer::TaskResult;
-use gannetridge_wire::submission::ParameterValue;
-use gannetridge_wire::{Epoch, Name, Submission, TaskId, Time};
+use gannetridge_entry_config::Account;
+use gannetridge_entry_wire::answer::TaskResult;
+use gannetridge_entry_wire::submission::ParameterValue;
+use gannetridge_entry_wire::{Epoch, Submission, TaskId, Time};
+use gannetridge_wire::Name;
 
 use crate::charts::{TaskEvent, TaskState, TASK};
 use crate::ledger::EntryKey;
--- a/crates/core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -3,9 +3,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use gannetridge_wire::answer::Refusal;
-use gannetridge_wire::peer::LedgerRecord;
-use gannetridge_wire::{Answer, Name, SubmissionId, Time};
+use gannetridge_entry_wire::answer::Refusal;
+use gannetridge_entry_wire::peer::LedgerRecord;
+use gannetridge_entry_wire::{Answer, SubmissionId, Time};
+use gannetridge_wire::Name;
 
 use crate::event::Token;
 use crate::job::JobKey;
--- a/crates/core/src/loans.rs
+++ b/crates/entry-core/src/loans.rs
@@ -6,8 +6,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use gannetridge_wire::peer::Grant;
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_wire::peer::Grant;
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 
 use crate::targets::{TargetIndex, Targets};
 
--- a/crates/core/src/ownership/handing.rs
+++ b/crates/entry-core/src/ownership/handing.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use gannetridge_wire::hall::Member;
-use gannetridge_wire::peer::{Handover, LedgerRecord, Taker, TakerPromise};
-use gannetridge_wire::{HostId, Time};
+use gannetridge_entry_wire::hall::Member;
+use gannetridge_entry_wire::peer::{Handover, LedgerRecord, Taker, TakerPromise};
+use gannetridge_entry_wire::{HostId, Time};
 
 use super::{Acceptance, HolderLease, Ownership};
 use crate::charts::{ShardEvent, ShardState, SHARD};
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/entry-core/src/ownership/mod.rs
@@ -17,9 +17,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gannetridge_wire::hall::HallRow;
-use gannetridge_wire::ids::SHARDS_PER_HALL;
-use gannetridge_wire::{Epoch, HostId, Name, Time};
+use gannetridge_entry_wire::hall::HallRow;
+use gannetridge_entry_wire::ids::SHARDS_PER_HALL;
+use gannetridge_entry_wire::{Epoch, HostId, Time};
+use gannetridge_wire::Name;
 
 use runs::Runs;
 
--- a/crates/core/src/ownership/promises.rs
+++ b/crates/entry-core/src/ownership/promises.rs
@@ -1,7 +1,8 @@
 //! Promises not to take over, asked for and given.
 
-use gannetridge_wire::peer::PromiseRequest;
-use gannetridge_wire::{HostId, Name, Time};
+use gannetridge_entry_wire::peer::PromiseRequest;
+use gannetridge_entry_wire::{HostId, Time};
+use gannetridge_wire::Name;
 
 use super::{Attempt, HolderLease, Ownership};
 
--- a/crates/core/src/ownership/runs.rs
+++ b/crates/entry-core/src/ownership/runs.rs
@@ -5,7 +5,8 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_wire::{HostId, Name};
+use gannetridge_entry_wire::HostId;
+use gannetridge_wire::Name;
 
 /// Runs of hosts, by where they were reached.
 #[derive(Debug)]
--- a/crates/core/src/ownership/table.rs
+++ b/crates/entry-core/src/ownership/table.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gannetridge_wire::hall::{HallRow, Member, ShardRow};
-use gannetridge_wire::platform::TableFailure;
-use gannetridge_wire::{Epoch, HostId, Time};
+use gannetridge_entry_wire::hall::{HallRow, Member, ShardRow};
+use gannetridge_entry_wire::platform::TableFailure;
+use gannetridge_entry_wire::{Epoch, HostId, Time};
 
 use super::{Attempt, Changes, HolderLease, LocalShard, Ownership, FORGET_MEMBER_MS};
 use crate::charts::{ShardEvent, ShardState, SHARD};
--- a/crates/core/src/queue.rs
+++ b/crates/entry-core/src/queue.rs
@@ -2,8 +2,9 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use gannetridge_config::Urgency;
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_config::Urgency;
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 
 use crate::job::JobKey;
 
--- a/crates/core/src/retry.rs
+++ b/crates/entry-core/src/retry.rs
@@ -1,6 +1,6 @@
 //! When to try again, and when to leave it.
 
-use gannetridge_wire::Time;
+use gannetridge_entry_wire::Time;
 use rand::Rng;
 use rand_pcg::Pcg32;
 
--- a/crates/core/src/seen.rs
+++ b/crates/entry-core/src/seen.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use gannetridge_wire::{HostId, Time};
+use gannetridge_entry_wire::{HostId, Time};
 
 /// How long a request is remembered, in ms. No copy travels for longer.
 const MEMORY_MS: u64 = 10_000;
--- a/crates/core/src/settings.rs
+++ b/crates/entry-core/src/settings.rs
@@ -1,6 +1,7 @@
 //! What a host is told when it starts.
 
-use gannetridge_wire::{HostId, Name};
+use gannetridge_entry_wire::HostId;
+use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 
 /// How targets are chosen for tasks.
--- a/crates/core/src/targets.rs
+++ b/crates/entry-core/src/targets.rs
@@ -6,8 +6,9 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use gannetridge_wire::platform::{HostList, ListedTarget};
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_wire::platform::{HostList, ListedTarget};
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 use rand::Rng;
 use rand_pcg::Pcg32;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/core/tests/charts.rs
+++ b/crates/entry-core/tests/charts.rs
@@ -1,7 +1,7 @@
 //! The state charts agree with the code, and wrong ones are refused.
 
-use gannetridge_core::chart::{Chart, ChartError, ChartNames};
-use gannetridge_core::charts::{
+use gannetridge_entry_core::chart::{Chart, ChartError, ChartNames};
+use gannetridge_entry_core::charts::{
     ShardEvent, ShardState, TaskEvent, TaskState, CHANGE, SHARD, TARGET, TASK,
 };
 
--- a/crates/lab/src/callers.rs
+++ b/crates/entry-sim/src/callers.rs
@@ -2,7 +2,8 @@
 
 use std::collections::HashMap;
 
-use gannetridge_wire::{Answer, Name, Submission, SubmissionId, Time};
+use gannetridge_entry_wire::{Answer, Submission, SubmissionId, Time};
+use gannetridge_wire::Name;
 
 /// One sending of one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/lab/src/chaos.rs
+++ b/crates/entry-sim/src/chaos.rs
@@ -1,6 +1,6 @@
 //! The randomised run: every fault at any moment, together or twice.
 
-use gannetridge_core::{Safeguards, Tuning};
+use gannetridge_entry_core::{Safeguards, Tuning};
 
 use crate::checks::Checks;
 use crate::report::Report;
--- a/crates/lab/src/checks.rs
+++ b/crates/entry-sim/src/checks.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-use gannetridge_wire::{Name, SubmissionId, TaskId, Time};
+use gannetridge_entry_wire::{SubmissionId, TaskId, Time};
+use gannetridge_wire::Name;
 
 /// A promise that a run has found broken.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/lab/src/faults.rs
+++ b/crates/entry-sim/src/faults.rs
@@ -4,9 +4,9 @@
 
 use crate::hosts::Pulse;
 use crate::world::{Ev, World, START_MS};
-use gannetridge_core::Event;
-use gannetridge_wire::platform::{TableOp, Write};
-use gannetridge_wire::Time;
+use gannetridge_entry_core::Event;
+use gannetridge_entry_wire::platform::{TableOp, Write};
+use gannetridge_entry_wire::Time;
 
 /// A change of what is wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -203,7 +203,7 @@
         let head = self.platform.table.value("config/head").unwrap_or_default();
         let digits: String = head.chars().filter(char::is_ascii_digit).collect();
         let version = digits.parse::<u64>().unwrap_or(1) + 1;
-        let doc = gannetridge_wire::peer::ConfigDoc {
+        let doc = gannetridge_entry_wire::peer::ConfigDoc {
             key: key.as_str().into(),
             version,
             text: "state = \"draining\"\n".into(),
--- a/crates/lab/src/hosts.rs
+++ b/crates/entry-sim/src/hosts.rs
@@ -2,8 +2,9 @@
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-use gannetridge_core::{Action, CallId, Event, Host, Token};
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_core::{Action, CallId, Event, Host, Token};
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 
 use crate::callers::RequestId;
 
--- a/crates/lab/src/lifecycle.rs
+++ b/crates/entry-sim/src/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Hosts' processes: events come in, and they pause, die, start again and
 //! stop.
 
-use gannetridge_core::{Event, SendFailure};
+use gannetridge_entry_core::{Event, SendFailure};
 use rand::Rng;
 
 use crate::checks::Violation;
--- a/crates/lab/src/load.rs
+++ b/crates/entry-sim/src/load.rs
@@ -1,11 +1,11 @@
 //! Jobs that come, and what their callers do.
 
-use gannetridge_core::Event;
-use gannetridge_wire::{Answer, Rejection, Submission, SubmissionId, TaskSpec};
+use gannetridge_entry_core::Event;
+use gannetridge_entry_wire::{Answer, Rejection, Submission, SubmissionId, TaskSpec};
 use rand::Rng;
 
 use crate::oracle::TraceJob;
-use gannetridge_standins::runner::usual_ms;
+use gannetridge_entry_standins::runner::usual_ms;
 
 use crate::callers::{CallerJob, RequestId, Sending};
 use crate::checks::Violation;
--- a/crates/lab/src/mutants.rs
+++ b/crates/entry-sim/src/mutants.rs
@@ -1,6 +1,6 @@
 //! Known faults, each a mechanism that is missing.
 
-use gannetridge_core::Safeguards;
+use gannetridge_entry_core::Safeguards;
 
 /// A host without one of its mechanisms.
 pub struct Mutant {
--- a/crates/lab/src/network.rs
+++ b/crates/entry-sim/src/network.rs
@@ -1,8 +1,8 @@
 //! Messages between hosts: delays, losses, copies, cuts.
 
-use gannetridge_core::{Event, SendFailure};
-use gannetridge_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_wire::platform::TableFailure;
+use gannetridge_entry_core::{Event, SendFailure};
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
+use gannetridge_entry_wire::platform::TableFailure;
 use gannetridge_wire::Name;
 use rand::Rng;
 
@@ -138,7 +138,7 @@
     pub(crate) fn reply_to_peer(
         &mut self,
         run: RunOf,
-        token: gannetridge_core::Token,
+        token: gannetridge_entry_core::Token,
         reply: PeerReply,
     ) {
         let asker = self.hosts[run.host].askers.remove(&token);
--- a/crates/lab/src/operators.rs
+++ b/crates/entry-sim/src/operators.rs
@@ -1,9 +1,9 @@
 //! Operators who race each other with changes of the same documents.
 
-use gannetridge_config::DocumentKey;
-use gannetridge_core::{ChangeAnswer, ChangeRequest, Event};
-use gannetridge_wire::peer::ConfigDoc;
-use gannetridge_wire::platform::{TableOp, TableResult};
+use gannetridge_entry_config::DocumentKey;
+use gannetridge_entry_core::{ChangeAnswer, ChangeRequest, Event};
+use gannetridge_entry_wire::peer::ConfigDoc;
+use gannetridge_entry_wire::platform::{TableOp, TableResult};
 use gannetridge_wire::Name;
 use rand::Rng;
 
--- a/crates/lab/src/perform.rs
+++ b/crates/entry-sim/src/perform.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_core::{Action, Note, Waste};
+use gannetridge_entry_core::{Action, Note, Waste};
 
 use crate::checks::Violation;
 use crate::hosts::{Asker, CallOf, Pulse, RunOf, SimHost};
--- a/crates/lab/src/platform.rs
+++ b/crates/entry-sim/src/platform.rs
@@ -1,9 +1,9 @@
 //! The platform in the driver: a table and a list that lag, fail and lose
 //! answers.
 
-use gannetridge_standins::list::LoggedList;
-use gannetridge_standins::table::Table;
-use gannetridge_wire::platform::{TableFailure, TableOp, TableResult};
+use gannetridge_entry_standins::list::LoggedList;
+use gannetridge_entry_standins::table::Table;
+use gannetridge_entry_wire::platform::{TableFailure, TableOp, TableResult};
 
 /// What becomes of one operation.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/report.rs
+++ b/crates/entry-sim/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_core::Waste;
+use gannetridge_entry_core::Waste;
 use gannetridge_wire::Name;
 use hdrhistogram::Histogram;
 
--- a/crates/lab/src/runners.rs
+++ b/crates/entry-sim/src/runners.rs
@@ -1,7 +1,8 @@
 //! Workers reduced to slots, speed and lag.
 
-use gannetridge_standins::runner::Runner;
-use gannetridge_wire::{Name, Time};
+use gannetridge_entry_standins::runner::Runner;
+use gannetridge_entry_wire::Time;
+use gannetridge_wire::Name;
 
 use crate::hosts::CallOf;
 
--- a/crates/lab/src/scenario.rs
+++ b/crates/entry-sim/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What a run is made of.
 
-use gannetridge_core::{Safeguards, Tuning};
+use gannetridge_entry_core::{Safeguards, Tuning};
 
 /// How callers' clocks may be ahead or behind, in µs.
 pub const CALLER_OFFSET_US: i64 = 250_000;
--- a/crates/lab/src/setup.rs
+++ b/crates/entry-sim/src/setup.rs
@@ -2,10 +2,11 @@
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-use gannetridge_core::{Host, HostSettings};
-use gannetridge_wire::peer::ConfigDoc;
-use gannetridge_wire::platform::{TableOp, Write};
-use gannetridge_wire::{HostId, Name};
+use gannetridge_entry_core::{Host, HostSettings};
+use gannetridge_entry_wire::peer::ConfigDoc;
+use gannetridge_entry_wire::platform::{TableOp, Write};
+use gannetridge_entry_wire::HostId;
+use gannetridge_wire::Name;
 use rand::Rng;
 
 use crate::hosts::{shift, Pulse, SimHost};
--- a/crates/lab/src/starts.rs
+++ b/crates/entry-sim/src/starts.rs
@@ -1,10 +1,10 @@
 //! Starts and questions on their way to runners, and what runners say.
 
-use gannetridge_core::SendFailure;
-use gannetridge_standins::runner::usual_ms;
-use gannetridge_wire::hall::{hall_key, HallRow};
-use gannetridge_wire::target::{AskTask, StartTask, TaskReport};
-use gannetridge_wire::{TaskId, Time};
+use gannetridge_entry_core::SendFailure;
+use gannetridge_entry_standins::runner::usual_ms;
+use gannetridge_entry_wire::hall::{hall_key, HallRow};
+use gannetridge_entry_wire::target::{AskTask, StartTask, TaskReport};
+use gannetridge_entry_wire::{TaskId, Time};
 
 use crate::checks::Violation;
 use crate::hosts::{shift, CallKind, CallOf, RunOf};
--- a/crates/lab/src/tables.rs
+++ b/crates/entry-sim/src/tables.rs
@@ -1,7 +1,7 @@
 //! Hosts' use of the platform, and what becomes of it.
 
-use gannetridge_core::Event;
-use gannetridge_wire::platform::{ListedTarget, TableFailure, TableOp};
+use gannetridge_entry_core::Event;
+use gannetridge_entry_wire::platform::{ListedTarget, TableFailure, TableOp};
 use rand::Rng;
 
 use crate::hosts::{CallKind, CallOf, Pulse, RunOf};
--- a/crates/lab/src/world.rs
+++ b/crates/entry-sim/src/world.rs
@@ -2,11 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use gannetridge_core::{ChangeAnswer, Event, SendFailure};
-use gannetridge_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_wire::platform::{TableFailure, TableOp, TableResult};
-use gannetridge_wire::target::{AskTask, StartTask, TaskReport};
-use gannetridge_wire::{Name, TaskId, Time};
+use gannetridge_entry_core::{ChangeAnswer, Event, SendFailure};
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
+use gannetridge_entry_wire::platform::{TableFailure, TableOp, TableResult};
+use gannetridge_entry_wire::target::{AskTask, StartTask, TaskReport};
+use gannetridge_entry_wire::{TaskId, Time};
+use gannetridge_wire::Name;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -69,7 +70,7 @@
         job: usize,
         clash: bool,
     },
-    CallerAnswer(RequestId, Option<gannetridge_wire::Answer>),
+    CallerAnswer(RequestId, Option<gannetridge_entry_wire::Answer>),
     CallerTimeout(RequestId),
     OperatorRace,
     OperatorAnswer(u64, Option<ChangeAnswer>),
--- a/crates/lab/tests/planned.rs
+++ b/crates/entry-sim/tests/planned.rs
@@ -1,10 +1,10 @@
 //! Planned stops and emptied halls in a calm system, over the real core.
 
-use gannetridge_lab::chaos::scenario;
-use gannetridge_lab::checks::Violation;
-use gannetridge_lab::report::Report;
-use gannetridge_lab::scenario::{Planned, Scenario};
-use gannetridge_lab::world::World;
+use gannetridge_entry_sim::chaos::scenario;
+use gannetridge_entry_sim::checks::Violation;
+use gannetridge_entry_sim::report::Report;
+use gannetridge_entry_sim::scenario::{Planned, Scenario};
+use gannetridge_entry_sim::world::World;
 
 /// Declares tests, each a name and the events of a calm run.
 macro_rules! calm_runs {
--- a/crates/lab/tests/policy.rs
+++ b/crates/entry-sim/tests/policy.rs
@@ -2,12 +2,14 @@
 //! version missed must not be lost again. Bounds leave room for other random
 //! numbers; the figures themselves stand in docs/DESIGN.md.
 
-use gannetridge_core::{Safeguards, Tuning};
-use gannetridge_lab::oracle;
-use gannetridge_lab::report::{AccountReport, Ratios, Report};
-use gannetridge_lab::scenario::{delays_of_today, AccountLoad, CallerManners, Scenario, Sizes};
-use gannetridge_lab::world::{World, START_MS};
-use gannetridge_wire::Time;
+use gannetridge_entry_core::{Safeguards, Tuning};
+use gannetridge_entry_sim::oracle;
+use gannetridge_entry_sim::report::{AccountReport, Ratios, Report};
+use gannetridge_entry_sim::scenario::{
+    delays_of_today, AccountLoad, CallerManners, Scenario, Sizes,
+};
+use gannetridge_entry_sim::world::{World, START_MS};
+use gannetridge_entry_wire::Time;
 
 const SEED: u64 = 1;
 /// How long jobs come.
--- a/crates/lab/tests/promises.rs
+++ b/crates/entry-sim/tests/promises.rs
@@ -1,9 +1,9 @@
 //! The short form of the randomised runs.
 
-use gannetridge_core::Safeguards;
-use gannetridge_lab::chaos::run_caught;
-use gannetridge_lab::mutants::ALL;
-use gannetridge_lab::parallel::map;
+use gannetridge_entry_core::Safeguards;
+use gannetridge_entry_sim::chaos::run_caught;
+use gannetridge_entry_sim::mutants::ALL;
+use gannetridge_entry_sim::parallel::map;
 
 const LOAD_MS: u64 = 60_000;
 
--- a/crates/lab/tests/traces.rs
+++ b/crates/entry-sim/tests/traces.rs
@@ -1,9 +1,9 @@
 //! Recorded traces with their stated outcomes: planned events with a seed,
 //! replayed, and what came of the jobs.
 
-use gannetridge_lab::chaos::scenario;
-use gannetridge_lab::scenario::Planned;
-use gannetridge_lab::world::World;
+use gannetridge_entry_sim::chaos::scenario;
+use gannetridge_entry_sim::scenario::Planned;
+use gannetridge_entry_sim::world::World;
 
 /// Declares tests, each a name and the events of its trace.
 macro_rules! traces {
--- a/crates/standins/src/bin/standin-platform.rs
+++ b/crates/entry-standins/src/bin/standin-platform.rs
@@ -1,8 +1,8 @@
 //! Runs the stand-in for the platform.
 
+use gannetridge_entry_standins::cli;
+use gannetridge_entry_standins::platform::{Platform, PlatformSettings};
 use gannetridge_net::{bind, runtime, serve, ServerLimits};
-use gannetridge_standins::cli;
-use gannetridge_standins::platform::{Platform, PlatformSettings};
 
 fn main() -> anyhow::Result<()> {
     let Some(settings) = cli::settings::<PlatformSettings>()? else {
--- a/crates/standins/src/bin/standin-workers.rs
+++ b/crates/entry-standins/src/bin/standin-workers.rs
@@ -1,9 +1,9 @@
 //! Runs the stand-in for the workers.
 
 use anyhow::Context;
+use gannetridge_entry_standins::cli;
+use gannetridge_entry_standins::worker::{RunnerServer, WorkersSettings};
 use gannetridge_net::{bind, runtime, serve, ServerLimits};
-use gannetridge_standins::cli;
-use gannetridge_standins::worker::{RunnerServer, WorkersSettings};
 
 fn main() -> anyhow::Result<()> {
     let Some(settings) = cli::settings::<WorkersSettings>()? else {
--- a/crates/standins/src/cli.rs
+++ b/crates/entry-standins/src/cli.rs
@@ -27,7 +27,7 @@
 pub fn settings<T: DeserializeOwned + Serialize>() -> anyhow::Result<Option<T>> {
     let arguments = Arguments::parse_args_default_or_exit();
     let path = arguments.settings.context("--settings FILE is needed")?;
-    let settings: T = gannetridge_config::settings::read(&path)?;
+    let settings: T = gannetridge_process::settings::read(&path)?;
     if !arguments.print_settings {
         return Ok(Some(settings));
     }
--- a/crates/standins/src/list.rs
+++ b/crates/entry-standins/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_wire::platform::{HostList, ListedTarget};
+use gannetridge_entry_wire::platform::{HostList, ListedTarget};
 use gannetridge_wire::Name;
 
 /// Targets that are gone and still told of; older ones make a reader get the
--- a/crates/standins/src/platform.rs
+++ b/crates/entry-standins/src/platform.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use gannetridge_entry_wire::platform::{ListedTarget, TableOp};
 use gannetridge_net::{HttpReply, HttpRequest};
-use gannetridge_wire::platform::{ListedTarget, TableOp};
 use gannetridge_wire::Name;
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
--- a/crates/standins/src/runner.rs
+++ b/crates/entry-standins/src/runner.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use gannetridge_wire::target::{AskTask, StartRefusal, StartTask, TaskReport};
-use gannetridge_wire::{Epoch, ShardId, TaskId, Time};
+use gannetridge_entry_wire::target::{AskTask, StartRefusal, StartTask, TaskReport};
+use gannetridge_entry_wire::{Epoch, ShardId, TaskId, Time};
 use serde::{Deserialize, Serialize};
 
 /// Most that a host's clock differs from the runner's, in ms.
--- a/crates/standins/src/table.rs
+++ b/crates/entry-standins/src/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_wire::platform::{Row, TableOp, TableResult};
+use gannetridge_entry_wire::platform::{Row, TableOp, TableResult};
 use gannetridge_wire::Name;
 
 /// Rows with versions.
--- a/crates/standins/src/worker.rs
+++ b/crates/entry-standins/src/worker.rs
@@ -9,9 +9,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use gannetridge_entry_wire::target::{StartTask, TaskReport};
+use gannetridge_entry_wire::Time;
 use gannetridge_net::{HttpReply, HttpRequest};
-use gannetridge_wire::target::{StartTask, TaskReport};
-use gannetridge_wire::{Name, Time};
+use gannetridge_wire::Name;
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
 
--- a/crates/standins/tests/list.rs
+++ b/crates/entry-standins/tests/list.rs
@@ -1,7 +1,7 @@
 //! The list of targets: what changed since a version, and what it adds up to.
 
-use gannetridge_standins::list::LoggedList;
-use gannetridge_wire::platform::{HostList, ListedTarget};
+use gannetridge_entry_standins::list::LoggedList;
+use gannetridge_entry_wire::platform::{HostList, ListedTarget};
 
 fn target(name: &str, busy: u32, leaving: bool) -> ListedTarget {
     ListedTarget {
--- a/crates/standins/tests/runner.rs
+++ b/crates/entry-standins/tests/runner.rs
@@ -1,8 +1,8 @@
 //! The stand-in for runners keeps its word.
 
-use gannetridge_standins::runner::Runner;
-use gannetridge_wire::target::{AskTask, StartRefusal, StartTask, TaskReport};
-use gannetridge_wire::{Epoch, ShardId, TaskId, Time};
+use gannetridge_entry_standins::runner::Runner;
+use gannetridge_entry_wire::target::{AskTask, StartRefusal, StartTask, TaskReport};
+use gannetridge_entry_wire::{Epoch, ShardId, TaskId, Time};
 
 const NOW: Time = Time::from_millis(1_000_000);
 
--- a/crates/wire/src/answer.rs
+++ b/crates/entry-wire/src/answer.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Name;
+use gannetridge_wire::Name;
 
 /// What is known of whether any task of a failed job ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/wire/src/hall.rs
+++ b/crates/entry-wire/src/hall.rs
@@ -4,7 +4,8 @@
 use thiserror::Error;
 
 use crate::ids::SHARDS_PER_HALL;
-use crate::{Epoch, HostId, Name, Time};
+use crate::{Epoch, HostId, Time};
+use gannetridge_wire::Name;
 
 /// Prefix of the keys of hall rows.
 pub const HALL_PREFIX: &str = "hall/";
--- a/crates/wire/src/ids.rs
+++ b/crates/entry-wire/src/ids.rs
@@ -2,17 +2,14 @@
 
 use std::fmt;
 use std::str::FromStr;
-use std::sync::Arc;
 
+use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::Time;
 
-/// A shared immutable name of a hall, host, target, account or template.
-pub type Name = Arc<str>;
-
 /// Number of shards into which the submissions of one hall are divided.
 ///
 /// 24 divides evenly among two, three, four, six and eight entry hosts.
--- a/crates/wire/src/peer.rs
+++ b/crates/entry-wire/src/peer.rs
@@ -3,7 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::platform::HostList;
-use crate::{Answer, Epoch, HostId, Name, Submission, SubmissionId, Time};
+use crate::{Answer, Epoch, HostId, Submission, SubmissionId, Time};
+use gannetridge_wire::Name;
 
 /// A config document as it stands in the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/wire/src/platform.rs
+++ b/crates/entry-wire/src/platform.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Name;
+use gannetridge_wire::Name;
 
 /// A row of the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/wire/src/submission.rs
+++ b/crates/entry-wire/src/submission.rs
@@ -5,7 +5,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::{Name, SubmissionId, Time};
+use crate::{SubmissionId, Time};
+use gannetridge_wire::Name;
 
 /// Most tasks that one submission may hold.
 pub const MAX_TASKS: usize = 1_600;
--- a/crates/wire/src/target.rs
+++ b/crates/entry-wire/src/target.rs
@@ -6,7 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::submission::ParameterValue;
-use crate::{Epoch, Name, ShardId, TaskId, Time};
+use crate::{Epoch, ShardId, TaskId, Time};
+use gannetridge_wire::Name;
 
 /// Asks a target to run one task and answer when it has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/wire/tests/codec.rs
+++ b/crates/entry-wire/tests/codec.rs
@@ -1,11 +1,11 @@
 //! Messages between hosts, and ids.
 
-use gannetridge_wire::answer::{Refusal, TaskResult};
-use gannetridge_wire::codec::{decode, encode, CodecError};
-use gannetridge_wire::peer::{PeerReply, PeerRequest, Spare};
-use gannetridge_wire::{
+use gannetridge_entry_wire::answer::{Refusal, TaskResult};
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest, Spare};
+use gannetridge_entry_wire::{
     Answer, FailureCause, HostId, Ran, Rejection, Submission, SubmissionId, SubmissionIdError,
 };
+use gannetridge_wire::codec::{decode, encode, CodecError};
 
 #[test]
 fn messages_come_back_as_they_were_sent() {
@@ -13,7 +13,7 @@
         from: "10.0.0.1:7100".into(),
         count: 7,
         over_quota: false,
-        due: gannetridge_wire::Time::from_millis(5),
+        due: gannetridge_entry_wire::Time::from_millis(5),
         wait_ms: 200,
     };
     let bytes = encode(&request).expect("encodable");
--- a/crates/wire/tests/hall_row.rs
+++ b/crates/entry-wire/tests/hall_row.rs
@@ -1,7 +1,7 @@
 //! The hall's row as the table keeps it.
 
-use gannetridge_wire::hall::{HallRow, Member};
-use gannetridge_wire::{Epoch, HostId, Time};
+use gannetridge_entry_wire::hall::{HallRow, Member};
+use gannetridge_entry_wire::{Epoch, HostId, Time};
 
 fn id(name: &str) -> HostId {
     HostId {
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use gannetridge_core::{CallId, Event, SendFailure};
+use gannetridge_entry_core::{CallId, Event, SendFailure};
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
+use gannetridge_entry_wire::platform::{HostList, TableFailure, TableOp, TableResult};
+use gannetridge_entry_wire::target::{AskTask, StartTask, TaskReport};
 use gannetridge_net::{CallError, Client};
 use gannetridge_wire::codec;
-use gannetridge_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_wire::platform::{HostList, TableFailure, TableOp, TableResult};
-use gannetridge_wire::target::{AskTask, StartTask, TaskReport};
 use http::{Method, StatusCode};
 use serde::Serialize;
 use tracing::warn;
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use gannetridge_wire::Time;
+use gannetridge_entry_wire::Time;
 
 /// Wall-clock time that never goes back: set once when the process starts, and
 /// moved on by the monotonic clock.
--- a/crates/entry/src/core_task.rs
+++ b/crates/entry/src/core_task.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use gannetridge_core::{Action, ChangeAnswer, ChangeRequest, Event, Host, Note, Token};
-use gannetridge_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_wire::{Answer, Submission};
+use gannetridge_entry_core::{Action, ChangeAnswer, ChangeRequest, Event, Host, Note, Token};
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
+use gannetridge_entry_wire::{Answer, Submission};
 use local_sync::{mpsc::unbounded, oneshot};
 use monoio::time::timeout;
 use tracing::{debug, info};
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The process of one entry host: sockets around a [`gannetridge_core::Host`].
+//! The process of one entry host: sockets around a [`gannetridge_entry_core::Host`].
 //!
 //! One task owns the host and its state. Tasks that own sockets send it
 //! messages and wait for its replies; when the channel closes, they end.
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -5,13 +5,13 @@
 use std::process::ExitCode;
 
 use anyhow::Context;
-use gannetridge_core::{Event, Host};
 use gannetridge_entry::calls::Caller;
 use gannetridge_entry::clock::Clock;
 use gannetridge_entry::core_task::{CoreTask, Message};
 use gannetridge_entry::metrics::Metrics;
 use gannetridge_entry::settings::Settings;
 use gannetridge_entry::{logging, peer_api, public_api};
+use gannetridge_entry_core::{Event, Host};
 use gannetridge_net::{bind, runtime, serve, Client, ClientLimits};
 use gumdrop::Options;
 use local_sync::mpsc::unbounded;
@@ -45,7 +45,7 @@
         .settings
         .as_ref()
         .context("--settings FILE is needed")?;
-    let settings: Settings = gannetridge_config::settings::read(path)?;
+    let settings: Settings = gannetridge_process::settings::read(path)?;
     if arguments.print_settings {
         print!("{}", toml::to_string(&settings)?);
         return Ok(());
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics, in the text format of Prometheus.
 
-use gannetridge_core::{Host, Note};
+use gannetridge_entry_core::{Host, Note};
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
 use opentelemetry::KeyValue;
 use opentelemetry_sdk::metrics::SdkMeterProvider;
--- a/crates/entry/src/operator_api.rs
+++ b/crates/entry/src/operator_api.rs
@@ -1,7 +1,7 @@
 //! What operators ask: documents, their versions, and changes.
 
-use gannetridge_config::DocumentKey;
-use gannetridge_core::{ChangeRequest, Host};
+use gannetridge_entry_config::DocumentKey;
+use gannetridge_entry_core::{ChangeRequest, Host};
 use gannetridge_net::{HttpReply, HttpRequest};
 use gannetridge_wire::Name;
 use http::{Method, StatusCode};
--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -1,8 +1,8 @@
 //! What entry hosts ask each other, as HTTP.
 
+use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_net::{HttpReply, HttpRequest};
 use gannetridge_wire::codec;
-use gannetridge_wire::peer::{PeerReply, PeerRequest};
 use http::{Method, StatusCode};
 use local_sync::oneshot;
 use tracing::warn;
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,11 +1,11 @@
 //! Answers as HTTP: results as JSON, everything else as problem details after
 //! RFC 9457.
 
-use gannetridge_core::ChangeAnswer;
+use gannetridge_entry_core::ChangeAnswer;
+use gannetridge_entry_wire::peer::ConfigDoc;
+use gannetridge_entry_wire::{Answer, FailureCause, Ran, Rejection};
 use gannetridge_net::message::PROBLEM_JSON;
 use gannetridge_net::HttpReply;
-use gannetridge_wire::peer::ConfigDoc;
-use gannetridge_wire::{Answer, FailureCause, Ran, Rejection};
 use http::StatusCode;
 use serde::Serialize;
 
--- a/crates/entry/src/public_api.rs
+++ b/crates/entry/src/public_api.rs
@@ -1,8 +1,8 @@
 //! What callers, operators and probes ask, as HTTP with JSON.
 
-use gannetridge_core::Host;
+use gannetridge_entry_core::Host;
+use gannetridge_entry_wire::Submission;
 use gannetridge_net::{HttpReply, HttpRequest};
-use gannetridge_wire::Submission;
 use http::{Method, StatusCode};
 use local_sync::oneshot;
 use serde::Serialize;
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -3,9 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gannetridge_core::{HostSettings, Safeguards, Tuning};
+use gannetridge_entry_core::{HostSettings, Safeguards, Tuning};
+use gannetridge_entry_wire::{HostId, Time};
 use gannetridge_net::ServerLimits;
-use gannetridge_wire::{HostId, Name, Time};
+use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 
 /// How log lines look.
--- a/crates/lab/src/cmd/chaos.rs
+++ b/crates/lab/src/cmd/chaos.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use anyhow::bail;
-use gannetridge_core::Safeguards;
-use gannetridge_lab::chaos::run_caught;
-use gannetridge_lab::parallel::map;
+use gannetridge_entry_core::Safeguards;
+use gannetridge_entry_sim::chaos::run_caught;
+use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
 /// Options of `chaos`.
--- a/crates/lab/src/cmd/dispatch.rs
+++ b/crates/lab/src/cmd/dispatch.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use anyhow::bail;
-use gannetridge_dispatch_lab::{run as play, Outcome, Scenario};
-use gannetridge_lab::parallel::map;
+use gannetridge_dispatcher_sim::{run as play, Outcome, Scenario};
+use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
 /// Options of `dispatch`.
--- a/crates/lab/src/cmd/mutants.rs
+++ b/crates/lab/src/cmd/mutants.rs
@@ -1,10 +1,10 @@
 //! `gannetridge-lab mutants`: puts known faults back in, one at a time.
 
 use anyhow::bail;
-use gannetridge_core::Safeguards;
-use gannetridge_lab::chaos::run_caught;
-use gannetridge_lab::mutants::ALL;
-use gannetridge_lab::parallel::map;
+use gannetridge_entry_core::Safeguards;
+use gannetridge_entry_sim::chaos::run_caught;
+use gannetridge_entry_sim::mutants::ALL;
+use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
 /// Options of `mutants`.
--- /dev/null
+++ b/crates/process/src/lib.rs
@@ -0,0 +1,3 @@
+//! What all programs need when they start.
+
+pub mod settings;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,20 +1,12 @@
-//! Message types of gannetridge: what callers, entry hosts, targets, the
-//! platform and operators say to each other.
+//! What all messages between hosts have in common: the type of names and the
+//! encoding.
 //!
-//! The crate holds data only. Decisions are made in `gannetridge-core`, bytes
-//! are moved by `gannetridge-net`.
+//! The messages themselves stand with who sends them, in
+//! `gannetridge-dispatcher-core` and `gannetridge-entry-wire`.
+
+use std::sync::Arc;
 
-pub mod answer;
 pub mod codec;
-pub mod hall;
-pub mod ids;
-pub mod peer;
-pub mod platform;
-pub mod submission;
-pub mod target;
-pub mod time;
 
-pub use answer::{Answer, FailureCause, Ran, Rejection, TaskResult};
-pub use ids::{Epoch, HostId, Name, ShardId, SubmissionId, SubmissionIdError, TaskId};
-pub use submission::{Submission, TaskSpec};
-pub use time::Time;
+/// A shared immutable name of a hall, host, target, account or template.
+pub type Name = Arc<str>;
--- a/src/api.rs
+++ b/src/api.rs
@@ -5,8 +5,8 @@
 
 use anyhow::Context;
 use bytes::Bytes;
+use gannetridge_entry_wire::peer::{ConfigDoc, ConfigSnapshot};
 use gannetridge_net::{Client, ClientLimits};
-use gannetridge_wire::peer::{ConfigDoc, ConfigSnapshot};
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use anyhow::Context;
-use gannetridge_config::DocumentKey;
+use gannetridge_entry_config::DocumentKey;
 use gumdrop::Options;
 use rand::Rng;
 
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use anyhow::Context;
-use gannetridge_config::{Document, Faults, Kind};
+use gannetridge_entry_config::{Document, Faults, Kind};
 use gumdrop::Options;
 
 /// Options of `check`.
--- a/src/main.rs
+++ b/src/main.rs
@@ -38,7 +38,7 @@
 fn start(arguments: Arguments) -> anyhow::Result<()> {
     if arguments.print_settings {
         let path = arguments.settings.context("--settings FILE is needed")?;
-        let settings: OperatorSettings = gannetridge_config::settings::read(&path)?;
+        let settings: OperatorSettings = gannetridge_process::settings::read(&path)?;
         println!("{}", serde_json::to_string_pretty(&settings)?);
         return Ok(());
     }
@@ -56,6 +56,6 @@
         _ => {}
     }
     let path = arguments.settings.context("--settings FILE is needed")?;
-    let settings: OperatorSettings = gannetridge_config::settings::read(&path)?;
+    let settings: OperatorSettings = gannetridge_process::settings::read(&path)?;
     gannetridge_net::runtime::run(cmd::run(command, Api::new(settings)))?
 }
