--- a/crates/dispatcher-core/src/action.rs
+++ b/crates/dispatcher-core/src/action.rs
@@ -4,9 +4,9 @@
 
 use gannetridge_wire::Name;
 
-use crate::event::{CallId, Token};
-use crate::message::{Envelope, Reply, RunKey};
-use crate::note::Note;
+use crate::decision::Decision;
+use crate::event::{CallId, RequestId};
+use crate::message::{AttemptId, Envelope, Reply};
 use crate::spec::JobError;
 use crate::Millis;
 
@@ -44,9 +44,9 @@
 
 /// A task to be started on a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunOrder {
+pub struct StartOrder {
     /// The task and its run.
-    pub key: RunKey,
+    pub key: AttemptId,
     /// What the task is told.
     pub specification: Name,
     /// The latest time to begin, and the end of the target's hold, on the
@@ -58,15 +58,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetCall {
     /// Start a task.
-    Start(RunOrder),
+    Start(StartOrder),
     /// End a run.
-    Stop(RunKey),
+    Stop(AttemptId),
     /// Extend the hold, and list what runs and what has ended.
-    Hold {
+    Renew {
         /// The end of the hold on the target's clock, if it is extended.
         until: Option<Millis>,
         /// Ends up to this number have been taken note of.
-        noted: u64,
+        acknowledged: u64,
         /// How long the target may wait for an end before it answers.
         wait_ms: Millis,
     },
@@ -79,7 +79,7 @@
         match self {
             Self::Start(_) => "start",
             Self::Stop(_) => "stop",
-            Self::Hold { .. } => "hold",
+            Self::Renew { .. } => "hold",
         }
     }
 }
@@ -90,14 +90,14 @@
     /// Answer a caller.
     Answer {
         /// The request.
-        token: Token,
+        request_id: RequestId,
         /// The answer.
         answer: Answer,
     },
     /// Reply to a peer.
     Reply {
         /// The request.
-        token: Token,
+        request_id: RequestId,
         /// The reply.
         reply: Box<Reply>,
     },
@@ -121,14 +121,14 @@
         /// The target's address.
         address: Name,
         /// The keeper's token.
-        fence: u64,
+        token: u64,
         /// What is asked.
         order: TargetCall,
         /// How long to wait for the reply.
         wait_ms: Millis,
     },
     /// Count or log.
-    Note(Note),
+    Record(Decision),
     /// The host has nothing left to do and may end.
     Stopped,
 }
--- a/crates/dispatcher-core/src/assignment.rs
+++ b/crates/dispatcher-core/src/assignment.rs
@@ -10,7 +10,7 @@
 ///
 /// Hosts get targets in proportion to their processor time.
 #[must_use]
-pub fn keeper<'a>(target: &str, hall: &str, hosts: &'a [HostInfo]) -> Option<&'a HostInfo> {
+pub fn targets<'a>(target: &str, hall: &str, hosts: &'a [HostInfo]) -> Option<&'a HostInfo> {
     let near = hosts.iter().filter(|host| &*host.hall == hall);
     best(target, near).or_else(|| best(target, hosts.iter()))
 }
@@ -27,7 +27,7 @@
 /// in proportion to its power.
 fn score(target: &str, host: &HostInfo) -> f64 {
     let part = uniform(target, &host.name);
-    -f64::from(host.power.max(1)) / part.ln()
+    -f64::from(host.processor_weight.max(1)) / part.ln()
 }
 
 /// Returns a number between 0 and 1, both excluded, for a target at a host.
--- a/crates/dispatcher-core/src/note.rs
+++ b/crates/dispatcher-core/src/decision.rs
@@ -2,7 +2,7 @@
 
 use gannetridge_wire::Name;
 
-use crate::message::{End, RunKey};
+use crate::message::{AttemptId, AttemptOutcome};
 use crate::Millis;
 
 /// Why a job ended as it did.
@@ -45,7 +45,7 @@
 
 /// A decision, or a change of what the host believes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Decision {
     /// A job was taken.
     JobTaken {
         /// The job.
@@ -55,7 +55,7 @@
         /// How many tasks it has.
         tasks: usize,
         /// Its aim, from now.
-        aim_ms: Millis,
+        objective_ms: Millis,
         /// How long its caller waits.
         deadline_ms: Millis,
         /// The version of the configuration that it was taken under.
@@ -85,14 +85,14 @@
         /// Since it was taken.
         took_ms: Millis,
         /// Its aim.
-        aim_ms: Millis,
+        objective_ms: Millis,
     },
     /// Tasks were handed to a peer.
     Asked {
         /// The peer.
         peer: Name,
         /// The first task.
-        first: RunKey,
+        first: AttemptId,
         /// How many.
         tasks: usize,
         /// Age of what is known of the peer's room.
@@ -101,7 +101,7 @@
     /// A task is started on a target.
     Started {
         /// The run.
-        key: RunKey,
+        key: AttemptId,
         /// The target.
         target: Name,
         /// The owner of the job.
@@ -112,11 +112,11 @@
     /// A run has ended.
     RunEnded {
         /// The run.
-        key: RunKey,
+        key: AttemptId,
         /// The target.
         target: Name,
         /// How.
-        end: End,
+        end: AttemptOutcome,
         /// What showed it.
         by: &'static str,
         /// Since its start was sent.
@@ -125,7 +125,7 @@
     /// Runs are being ended.
     Stopping {
         /// The run.
-        key: RunKey,
+        key: AttemptId,
         /// The target.
         target: Name,
         /// Why.
@@ -154,7 +154,7 @@
         /// The peer.
         peer: Name,
         /// The runs.
-        runs: usize,
+        attempts: usize,
         /// Until they are over for sure.
         over_in_ms: Millis,
     },
--- a/crates/dispatcher-core/src/dispatcher/calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/calls.rs
@@ -12,8 +12,8 @@
     ) -> Option<CallId> {
         let peer = self.peers.all.get(name)?;
         let address = peer.info.address;
-        let (session, echo) = (peer.session, peer.echo);
-        let call = self.send(now, address, session, echo, request);
+        let (session, echoed_clock) = (peer.session, peer.echoed_clock);
+        let call = self.send(now, address, session, echoed_clock, request);
         self.calls.insert(call, (Some(name.clone()), purpose));
         Some(call)
     }
@@ -23,7 +23,7 @@
         now: Millis,
         address: SocketAddr,
         session: u64,
-        echo: Option<crate::message::Echo>,
+        echoed_clock: Option<crate::message::EchoedClock>,
         request: Request,
     ) -> CallId {
         self.last_call += 1;
@@ -31,7 +31,7 @@
         let envelope = Envelope {
             from: self.own.clone(),
             session,
-            echo,
+            echoed_clock,
             clock: now,
             request,
         };
@@ -45,11 +45,11 @@
     }
 
     pub(super) fn send_place(&mut self, now: Millis, name: &Name, orders: Vec<TaskOrder>) {
-        let keys: Vec<RunKey> = orders.iter().map(|order| order.key.clone()).collect();
-        let pace = self.peers.pace();
+        let keys: Vec<AttemptId> = orders.iter().map(|order| order.key.clone()).collect();
+        let intervals = self.peers.intervals();
         if let (Some(first), Some(peer)) = (keys.first(), self.peers.all.get_mut(name)) {
-            peer.begin_use(now, &pace);
-            self.out.push(Action::Note(Note::Asked {
+            peer.begin_use(now, &intervals);
+            self.out.push(Action::Record(Decision::Asked {
                 peer: name.clone(),
                 first: first.clone(),
                 tasks: keys.len(),
@@ -71,9 +71,13 @@
         let Some(name) = name else {
             return self.seed_replied(now, reply);
         };
-        let pace = self.peers.pace();
+        let intervals = self.peers.intervals();
         if let Ok(reply) = &reply {
-            let heard = self.peers.all.get(&name).map_or(0, |peer| peer.echoed);
+            let heard = self
+                .peers
+                .all
+                .get(&name)
+                .map_or(0, |peer| peer.clock_heard_at);
             if self.peers.replied(now, &name, reply) {
                 self.lose_session(now, &name, heard);
             }
@@ -81,8 +85,8 @@
                 if !matches!(reply.body, ReplyBody::Stale) {
                     peer.acked = Some(now);
                 }
-                if !matches!(purpose, Purpose::Beat) {
-                    peer.put_beat_off(now, &pace);
+                if !matches!(purpose, Purpose::Heartbeat) {
+                    peer.postpone_heartbeat(now, &intervals);
                 }
             }
         } else if let (Err(SendFailure::Refused), Some(peer)) =
@@ -95,11 +99,11 @@
 
     pub(super) fn seed_replied(&mut self, now: Millis, reply: Result<Reply, SendFailure>) {
         if let Ok(Reply {
-            body: ReplyBody::Beat(beat),
+            body: ReplyBody::Heartbeat(heartbeat),
             ..
         }) = reply
         {
-            for host in &beat.hosts {
+            for host in &heartbeat.hosts {
                 self.peers.learn(now, host);
             }
         }
@@ -114,19 +118,19 @@
         reply: Result<Reply, SendFailure>,
     ) {
         match purpose {
-            Purpose::Beat => {
+            Purpose::Heartbeat => {
                 if let Ok(Reply {
-                    body: ReplyBody::Beat(beat),
+                    body: ReplyBody::Heartbeat(heartbeat),
                     ..
                 }) = &reply
                 {
-                    self.peers.beat_replied(now, name, beat);
+                    self.peers.heartbeat_replied(now, name, heartbeat);
                     self.fetch_queues(now, name);
                 }
             }
-            Purpose::Seed | Purpose::Want => {}
+            Purpose::Seed | Purpose::Demand => {}
             Purpose::Place(keys) => self.place_replied(now, name, &keys, reply),
-            Purpose::Offer => {
+            Purpose::Reservation => {
                 let interested = matches!(
                     reply,
                     Ok(Reply {
@@ -135,16 +139,16 @@
                     })
                 );
                 if !interested {
-                    self.keeper.end_offers(name);
+                    self.targets.end_reservations(name);
                     if let Some(peer) = self.peers.all.get_mut(name) {
-                        peer.want = None;
+                        peer.demand = None;
                     }
                 }
             }
-            Purpose::Stop => self.stop_replied(now, call, name, is_noted(&reply)),
-            Purpose::Ended => self.ended_replied(now, call, name, is_noted(&reply)),
+            Purpose::Stop => self.stop_replied(now, call, name, is_acknowledged(&reply)),
+            Purpose::Ended => self.ended_replied(now, call, name, is_acknowledged(&reply)),
             Purpose::Queues => {
-                self.fetching = false;
+                self.fetching_queues = false;
                 if let Ok(Reply {
                     body: ReplyBody::Queues(Some(queues)),
                     ..
@@ -160,7 +164,7 @@
         &mut self,
         now: Millis,
         name: &Name,
-        keys: &[RunKey],
+        keys: &[AttemptId],
         reply: Result<Reply, SendFailure>,
     ) {
         let taken = match reply {
@@ -184,24 +188,36 @@
         }
     }
 
-    pub(super) fn stop_replied(&mut self, now: Millis, call: CallId, name: &Name, noted: bool) {
+    pub(super) fn stop_replied(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        name: &Name,
+        acknowledged: bool,
+    ) {
         let Some(peer) = self.peers.all.get_mut(name) else {
             return;
         };
         if let Some((_, stops)) = peer.stopping.take_if(|(current, _)| *current == call) {
-            if !noted {
+            if !acknowledged {
                 peer.stops.extend(stops);
                 peer.retry_at = now + RETRY_MS;
             }
         }
     }
 
-    pub(super) fn ended_replied(&mut self, now: Millis, call: CallId, name: &Name, noted: bool) {
+    pub(super) fn ended_replied(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        name: &Name,
+        acknowledged: bool,
+    ) {
         let Some(peer) = self.peers.all.get_mut(name) else {
             return;
         };
         if let Some((_, ends)) = peer.telling.take_if(|(current, _)| *current == call) {
-            if !noted {
+            if !acknowledged {
                 peer.ends.extend(ends);
                 peer.retry_at = now + RETRY_MS;
             }
@@ -210,15 +226,15 @@
 
     pub(super) fn fetch_queues(&mut self, now: Millis, name: &Name) {
         let newer = self.peers.all.get(name).map_or(0, |peer| peer.version) > self.version();
-        if newer && !self.fetching {
+        if newer && !self.fetching_queues {
             let call = self.call_peer(now, name, Request::Queues, Purpose::Queues);
-            self.fetching = call.is_some();
+            self.fetching_queues = call.is_some();
         }
     }
 }
 
 /// Tells whether a peer has taken note of what it was told.
-fn is_noted(reply: &Result<Reply, SendFailure>) -> bool {
+fn is_acknowledged(reply: &Result<Reply, SendFailure>) -> bool {
     let reply = reply.as_ref();
     reply.is_ok_and(|reply| !matches!(reply.body, ReplyBody::Stale))
 }
--- a/crates/dispatcher-core/src/dispatcher/due.rs
+++ b/crates/dispatcher-core/src/dispatcher/due.rs
@@ -7,8 +7,8 @@
         self.next_tick = now + IDLE_TICK_MS;
         self.jobs.tick(now);
         self.assign(now);
-        self.keeper.tick(now);
-        self.send_beats(now);
+        self.targets.tick(now);
+        self.send_heartbeats(now);
         self.peers.forget(now);
         self.stop_if_done(now);
     }
@@ -21,8 +21,12 @@
         let may_take = self.started.is_some_and(|at| at + SETTLE_MS <= now);
         let staying = self.staying(now);
         let peers = &self.peers;
-        self.keeper
-            .assign(now, &staying, |id| peers.is_kept(now, id), may_take);
+        self.targets.assign(
+            now,
+            &staying,
+            |id| peers.is_leased_elsewhere(now, id),
+            may_take,
+        );
     }
 
     /// Returns the hosts that share the targets: those that stay, or this one
@@ -41,26 +45,31 @@
         self.stopping.is_none() || self.peers.staying(now, false).is_empty()
     }
 
-    pub(super) fn beat(&self) -> Beat {
-        Beat {
+    pub(super) fn heartbeat(&self) -> Heartbeat {
+        Heartbeat {
             leaving: self.stopping.is_some(),
             version: self.version(),
             hosts_hash: self.peers.hash(),
         }
     }
 
-    pub(super) fn send_beats(&mut self, now: Millis) {
-        self.peers.set_used(now, &self.jobs.peers_with_runs());
-        let (peers, seeds) = (self.peers.beats_due(now), self.peers.seeds_due(now));
+    pub(super) fn send_heartbeats(&mut self, now: Millis) {
+        self.peers.set_used(now, &self.jobs.peers_with_attempts());
+        let (peers, seeds) = (self.peers.heartbeats_due(now), self.peers.seeds_due(now));
         if peers.is_empty() && seeds.is_empty() {
             return;
         }
-        let beat = self.beat();
+        let heartbeat = self.heartbeat();
         for name in peers {
-            self.call_peer(now, &name, Request::Beat(beat.clone()), Purpose::Beat);
+            self.call_peer(
+                now,
+                &name,
+                Request::Heartbeat(heartbeat.clone()),
+                Purpose::Heartbeat,
+            );
         }
         for seed in seeds {
-            let call = self.send(now, seed, 0, None, Request::Beat(beat.clone()));
+            let call = self.send(now, seed, 0, None, Request::Heartbeat(heartbeat.clone()));
             self.calls.insert(call, (None, Purpose::Seed));
         }
     }
@@ -72,18 +81,18 @@
         self.deliver_stops(now);
         self.deliver_reports(now);
         self.send_outboxes(now);
-        self.keeper.send_holds(now);
-        let busy = !self.jobs.is_empty() || self.keeper.runs() > 0;
+        self.targets.send_renewals(now);
+        let busy = !self.jobs.is_empty() || self.targets.attempts() > 0;
         if busy {
             self.next_tick = self.next_tick.min(now + TICK_MS);
         }
         self.out.append(&mut self.jobs.out);
-        self.out.append(&mut self.keeper.out);
+        self.out.append(&mut self.targets.out);
     }
 
     pub(super) fn deliver_reports(&mut self, now: Millis) {
-        for report in self.keeper.take_reports() {
-            self.out.push(Action::Note(Note::RunEnded {
+        for report in self.targets.take_reports() {
+            self.out.push(Action::Record(Decision::RunEnded {
                 key: report.end.key.clone(),
                 target: report.end.target.clone(),
                 end: report.end.end,
@@ -91,9 +100,9 @@
                 took_ms: report.took_ms,
             }));
             if report.owner == self.own.name {
-                self.jobs.run_ended(now, &report.end);
+                self.jobs.attempt_ended(now, &report.end);
             } else if let Some(peer) = self.peers.all.get_mut(&report.owner) {
-                let current = peer.their_session == report.session && !peer.lapsed;
+                let current = peer.their_session == report.session && !peer.lease_expired;
                 if report.wanted && current {
                     peer.ends.push(report.end);
                 }
@@ -106,7 +115,7 @@
             match peer {
                 None => {
                     let own = self.own.name.clone();
-                    self.keeper.stop(now, &own, &[key], false, "job ended");
+                    self.targets.stop(now, &own, &[key], false, "job ended");
                 }
                 Some(name) => {
                     if let Some(peer) = self.peers.all.get_mut(&name) {
@@ -129,7 +138,7 @@
 
     pub(super) fn send_ends(&mut self, now: Millis, name: &Name) {
         let peer = self.peers.all.get_mut(name).expect("the peer is known");
-        if peer.lapsed {
+        if peer.lease_expired {
             // Its runs are given up there as well.
             peer.ends.clear();
             return;
--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -14,18 +14,18 @@
 use gannetridge_wire::Name;
 
 use crate::action::{Action, Answer};
-use crate::event::{CallId, Event, SendFailure, Submit, Token};
+use crate::decision::Decision;
+use crate::event::{CallId, Event, RequestId, SendFailure, Submit};
 use crate::jobs::{self, Jobs, WaitingTask};
-use crate::keeper::Keeper;
 use crate::message::{
-    Beat, BeatReply, End, Envelope, FreeRoom, HostInfo, Reply, ReplyBody, Request, RunEnd, RunKey,
-    TaskOrder, Urge, Want,
+    AttemptEnd, AttemptId, AttemptOutcome, Demand, Envelope, FreeResources, Heartbeat,
+    HeartbeatReply, HostInfo, Priority, Reply, ReplyBody, Request, TaskOrder,
 };
-use crate::note::Note;
-use crate::peers::{Peers, WANT_MS};
+use crate::peers::{Peers, DEMAND_TTL_MS};
 use crate::queues::Queues;
 use crate::settings::{BoundsError, Settings, Times};
-use crate::spec::{check_id, Room};
+use crate::spec::{check_id, Resources};
+use crate::targets::TargetLeases;
 use crate::Millis;
 
 /// Between looks at what is due.
@@ -42,7 +42,7 @@
 /// How long a reply to a request is awaited that may be sent again.
 const RETRY_MS: Millis = 100;
 /// Between wants that tell the same.
-const WANT_PAUSE_MS: Millis = 100;
+const ADVERTISE_INTERVAL_MS: Millis = 100;
 /// The most waiting tasks that are looked at in one go.
 const MAX_LOOKED_AT: usize = 64;
 /// A stopping host stays at least for this part of its grace period, since
@@ -53,11 +53,11 @@
 
 /// What a call to a peer was for.
 enum Purpose {
-    Beat,
+    Heartbeat,
     Seed,
-    Place(Vec<RunKey>),
-    Want,
-    Offer,
+    Place(Vec<AttemptId>),
+    Demand,
+    Reservation,
     Stop,
     Ended,
     Queues,
@@ -73,7 +73,7 @@
     own: HostInfo,
     queues: Option<Queues>,
     jobs: Jobs,
-    keeper: Keeper,
+    targets: TargetLeases,
     peers: Peers,
     calls: HashMap<CallId, (Option<Name>, Purpose)>,
     last_call: u64,
@@ -82,8 +82,8 @@
     stopped: bool,
     next_tick: Millis,
     next_assignment: Millis,
-    want: Option<(Want, Millis)>,
-    fetching: bool,
+    demand: Option<(Demand, Millis)>,
+    fetching_queues: bool,
     out: Vec<Action>,
 }
 
@@ -101,10 +101,10 @@
             address: settings.address,
             hall: settings.hall.clone(),
             incarnation: settings.incarnation,
-            power: settings.power,
+            processor_weight: settings.processor_weight,
         };
         Ok(Self {
-            keeper: Keeper::new(&settings, times),
+            targets: TargetLeases::new(&settings, times),
             peers: Peers::new(own.clone(), &settings.seeds, times),
             settings,
             times,
@@ -118,8 +118,8 @@
             stopped: false,
             next_tick: 0,
             next_assignment: 0,
-            want: None,
-            fetching: false,
+            demand: None,
+            fetching_queues: false,
             out: Vec::new(),
         })
     }
@@ -146,16 +146,16 @@
     /// kept, and runs are in the books.
     #[must_use]
     pub fn counts(&self) -> [usize; 4] {
-        let (known, kept) = self.keeper.counts();
-        [self.jobs.len(), known, kept, self.keeper.runs()]
+        let (known, leased) = self.targets.counts();
+        [self.jobs.len(), known, leased, self.targets.attempts()]
     }
 
     /// Returns how many peers are taken to live.
     #[must_use]
     pub fn live_peers(&self, now: Millis) -> usize {
-        let pace = self.peers.pace();
+        let intervals = self.peers.intervals();
         let peers = self.peers.all.values();
-        peers.filter(|peer| peer.is_alive(now, &pace)).count()
+        peers.filter(|peer| peer.is_alive(now, &intervals)).count()
     }
 
     /// Takes other seeds.
@@ -175,7 +175,7 @@
     /// still is lost before the event can use it.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         self.started.get_or_insert(now);
-        self.lose_lapsed(now);
+        self.expire_leases(now);
         self.take(now, event);
         if self.next_tick <= now {
             self.tick(now);
@@ -186,18 +186,29 @@
 
     fn take(&mut self, now: Millis, event: Event) {
         match event {
-            Event::Submit { token, submit } => self.submit(now, token, *submit),
-            Event::Ask { token, host, path } => self.ask(token, &host, &path),
-            Event::Cancel { token, host, path } => self.cancel(now, token, &host, &path),
-            Event::CallerGone { token } => self.jobs.caller_gone(now, token),
-            Event::Peer { token, envelope } => self.peer_asks(now, token, *envelope),
+            Event::Submit { request_id, submit } => self.submit(now, request_id, *submit),
+            Event::Ask {
+                request_id,
+                host,
+                path,
+            } => self.ask(request_id, &host, &path),
+            Event::Cancel {
+                request_id,
+                host,
+                path,
+            } => self.cancel(now, request_id, &host, &path),
+            Event::CallerGone { request_id } => self.jobs.caller_gone(now, request_id),
+            Event::Peer {
+                request_id,
+                envelope,
+            } => self.peer_asks(now, request_id, *envelope),
             Event::PeerReply { call, reply } => self.peer_replied(now, call, reply.map(|r| *r)),
-            Event::TargetReply { call, reply } => self.keeper.replied(now, call, reply),
-            Event::TargetsChanged(changes) => self.keeper.change(now, changes),
-            Event::TargetsRead(entries) => self.keeper.read(now, entries),
+            Event::TargetReply { call, reply } => self.targets.replied(now, call, reply),
+            Event::TargetsChanged(changes) => self.targets.change(now, changes),
+            Event::TargetsRead(entries) => self.targets.read(now, entries),
             Event::StoreReachable(reachable) => {
-                self.keeper.store_reachable(now, reachable);
-                self.out.push(Action::Note(Note::Store { reachable }));
+                self.targets.store_reachable(now, reachable);
+                self.out.push(Action::Record(Decision::Store { reachable }));
             }
             Event::QueuesRead(queues) => self.use_queues(queues, "store"),
             Event::HostsRead(hosts) => {
@@ -214,7 +225,8 @@
         if queues.version > self.version() || self.queues.is_none() {
             let version = queues.version;
             self.queues = Some(queues);
-            self.out.push(Action::Note(Note::Queues { version, from }));
+            self.out
+                .push(Action::Record(Decision::Queues { version, from }));
         }
     }
 }
--- a/crates/dispatcher-core/src/dispatcher/placement.rs
+++ b/crates/dispatcher-core/src/dispatcher/placement.rs
@@ -5,17 +5,17 @@
 /// Rooms for which there was no room in one pass; in its course room only
 /// becomes less.
 #[derive(Default)]
-struct Unfit(Vec<Room>);
+struct Unfit(Vec<Resources>);
 
 impl Unfit {
     /// Tells whether a room may fit: asks only if no smaller one was refused.
-    fn may_fit(&mut self, room: &Room, ask: impl FnOnce(&Room) -> bool) -> bool {
-        if self.0.iter().any(|unfit| room.fits(unfit)) {
+    fn may_fit(&mut self, resources: &Resources, ask: impl FnOnce(&Resources) -> bool) -> bool {
+        if self.0.iter().any(|unfit| resources.fits(unfit)) {
             return false;
         }
-        let fits = ask(room);
+        let fits = ask(resources);
         if !fits {
-            self.0.push(*room);
+            self.0.push(*resources);
         }
         fits
     }
@@ -25,7 +25,7 @@
     /// Finds room for what waits, here and at peers, the most urgent first.
     pub(super) fn schedule(&mut self, now: Millis) {
         if self.jobs.none_waits() {
-            return self.serve_wants(now, None);
+            return self.reserve_for_peers(now, None);
         }
         let own = self.own.name.clone();
         let starts_here = self.starts_here(now);
@@ -33,22 +33,22 @@
         let mut batches: BTreeMap<Name, Vec<TaskOrder>> = BTreeMap::new();
         let (mut full_here, mut full_there) = (Unfit::default(), Unfit::default());
         for task in self.jobs.waiting(now, MAX_LOOKED_AT) {
-            self.serve_wants(now, Some(&task));
+            self.reserve_for_peers(now, Some(&task));
             let here =
-                starts_here && full_here.may_fit(&task.room, |r| self.keeper.may_fit(now, r));
+                starts_here && full_here.may_fit(&task.resources, |r| self.targets.may_fit(now, r));
             let there =
-                task.may_ask && full_there.may_fit(&task.room, |r| self.peers.may_fit(now, r));
+                task.may_ask && full_there.may_fit(&task.resources, |r| self.peers.may_fit(now, r));
             if !here && !there {
                 left.push(task);
                 continue;
             }
             let order = self.jobs.order(&task.job, task.index);
-            if here && self.keeper.place(now, &own, 0, &order) {
+            if here && self.targets.place(now, &own, 0, &order) {
                 self.jobs.started(now, &task.job, task.index);
                 continue;
             }
             let is_asked = |name: &Name| batches.contains_key(name);
-            let peer = there.then(|| self.peers.with_room(now, &order, is_asked));
+            let peer = there.then(|| self.peers.choose(now, &order, is_asked));
             match peer.flatten() {
                 Some(peer) if peer.fresh => {
                     self.jobs.asked(now, &task.job, task.index, &peer.name);
@@ -61,11 +61,11 @@
                 None => left.push(task),
             }
         }
-        self.serve_wants(now, None);
+        self.reserve_for_peers(now, None);
         for (peer, orders) in batches {
             self.send_place(now, &peer, orders);
         }
-        self.tell_want(now, &left);
+        self.advertise_demand(now, &left);
     }
 
     /// Asks a peer for its clock, so that tasks can be handed to it.
@@ -77,54 +77,54 @@
             return;
         }
         peer.clock_asked = Some(now);
-        let beat = Request::Beat(self.beat());
-        self.call_peer(now, name, beat, Purpose::Beat);
+        let heartbeat = Request::Heartbeat(self.heartbeat());
+        self.call_peer(now, name, heartbeat, Purpose::Heartbeat);
     }
 
     /// Offers room to peers whose wants are more urgent than a task here.
-    pub(super) fn serve_wants(&mut self, now: Millis, next: Option<&WaitingTask>) {
-        let wanted = self.peers.all.values().any(|peer| peer.want.is_some());
+    pub(super) fn reserve_for_peers(&mut self, now: Millis, next: Option<&WaitingTask>) {
+        let wanted = self.peers.all.values().any(|peer| peer.demand.is_some());
         if self.stopping.is_some() || !wanted {
             return;
         }
-        let pace = self.peers.pace();
+        let intervals = self.peers.intervals();
         loop {
-            let wants = self.peers.all.iter().filter_map(|(name, peer)| {
-                let (want, heard, until) = peer.want.as_ref()?;
-                let open = *until > now && peer.takes_tasks(now, &pace);
-                let urge = Urge {
-                    rank: want.urge.rank,
-                    urgency: want.urge.urgency,
-                    slack_ms: want.urge.slack_ms - now.saturating_sub(*heard) as i64,
+            let demands = self.peers.all.iter().filter_map(|(name, peer)| {
+                let (demand, heard, until) = peer.demand.as_ref()?;
+                let open = *until > now && peer.takes_tasks(now, &intervals);
+                let priority = Priority {
+                    rank: demand.priority.rank,
+                    urgency: demand.priority.urgency,
+                    slack_ms: demand.priority.slack_ms - now.saturating_sub(*heard) as i64,
                 };
-                open.then_some((urge, name, want))
+                open.then_some((priority, name, demand))
             });
             let first =
-                wants.min_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(std::cmp::Ordering::Equal));
-            let Some((urge, name, want)) = first else {
+                demands.min_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(std::cmp::Ordering::Equal));
+            let Some((priority, name, demand)) = first else {
                 return;
             };
-            if next.is_some_and(|task| task.urge <= urge) {
+            if next.is_some_and(|task| task.priority <= priority) {
                 return;
             }
-            let (name, want) = (name.clone(), want.clone());
-            let Some(free) = self.keeper.offer(now, &name, &want) else {
+            let (name, demand) = (name.clone(), demand.clone());
+            let Some(free) = self.targets.reserve(now, &name, &demand) else {
                 return;
             };
-            self.call_peer(now, &name, Request::Offer(free), Purpose::Offer);
+            self.call_peer(now, &name, Request::Reservation(free), Purpose::Reservation);
             // The next offer to it waits until it says again what it wants.
             if let Some(peer) = self.peers.all.get_mut(&name) {
-                if let Some((want, _, _)) = &mut peer.want {
-                    want.count = want.count.saturating_sub(1);
-                    if want.count == 0 {
-                        peer.want = None;
+                if let Some((demand, _, _)) = &mut peer.demand {
+                    demand.count = demand.count.saturating_sub(1);
+                    if demand.count == 0 {
+                        peer.demand = None;
                     }
                 }
             }
         }
     }
 
-    pub(super) fn tell_want(&mut self, now: Millis, left: &[WaitingTask]) {
+    pub(super) fn advertise_demand(&mut self, now: Millis, left: &[WaitingTask]) {
         let Some(first) = left.first() else {
             return;
         };
@@ -133,24 +133,29 @@
             .iter()
             .filter(|task| *self.jobs.pool(&task.job) == pool);
         let same_pool: Vec<WaitingTask> = same_pool.cloned().collect();
-        let Some(want) = jobs::want(&same_pool, &pool) else {
+        let Some(demand) = jobs::demand(&same_pool, &pool) else {
             return;
         };
-        let told = self.want.as_ref().is_some_and(|(told, at)| {
-            let more = want.urge.rank < told.urge.rank || want.count > 2 * told.count;
+        let told = self.demand.as_ref().is_some_and(|(told, at)| {
+            let more = demand.priority.rank < told.priority.rank || demand.count > 2 * told.count;
             let pause = if more {
-                WANT_PAUSE_MS / 4
+                ADVERTISE_INTERVAL_MS / 4
             } else {
-                WANT_PAUSE_MS
+                ADVERTISE_INTERVAL_MS
             };
             at + pause > now
         });
         if told {
             return;
         }
-        self.want = Some((want.clone(), now));
+        self.demand = Some((demand.clone(), now));
         for name in self.peers.to_be_asked(now) {
-            self.call_peer(now, &name, Request::Want(Some(want.clone())), Purpose::Want);
+            self.call_peer(
+                now,
+                &name,
+                Request::Demand(Some(demand.clone())),
+                Purpose::Demand,
+            );
         }
     }
 }
--- a/crates/dispatcher-core/src/dispatcher/rights.rs
+++ b/crates/dispatcher-core/src/dispatcher/rights.rs
@@ -3,34 +3,35 @@
 use super::*;
 
 impl Dispatcher {
-    pub(super) fn lose_lapsed(&mut self, now: Millis) {
-        let mut unvouched = Vec::new();
+    pub(super) fn expire_leases(&mut self, now: Millis) {
+        let mut expired = Vec::new();
         let mut lost = Vec::new();
-        let pace = self.peers.pace();
+        let intervals = self.peers.intervals();
         for (name, peer) in &mut self.peers.all {
-            if !peer.lapsed && peer.vouched_until <= now {
-                peer.lapsed = true;
-                unvouched.push(name.clone());
+            if !peer.lease_expired && peer.lease_until <= now {
+                peer.lease_expired = true;
+                expired.push(name.clone());
             }
-            let alive = peer.is_alive(now, &pace);
+            let alive = peer.is_alive(now, &intervals);
             if peer.lived && !alive {
                 lost.push(name.clone());
             }
             if peer.lived != alive {
                 peer.lived = alive;
-                self.out.push(Action::Note(Note::Peer {
+                self.out.push(Action::Record(Decision::Peer {
                     peer: name.clone(),
                     state: if alive { "lives" } else { "silent" },
                     silent_ms: now.saturating_sub(peer.heard),
                 }));
             }
         }
-        let lapses = self.settings.safeguards.vouches_lapse;
-        for name in unvouched.into_iter().filter(|_| lapses) {
-            self.keeper.stop_owner(now, &name, u64::MAX, "owner silent");
+        let lapses = self.settings.safeguards.owner_leases_expire;
+        for name in expired.into_iter().filter(|_| lapses) {
+            self.targets
+                .stop_owner(now, &name, u64::MAX, "owner silent");
         }
         for name in lost {
-            let heard = self.peers.all[&name].echoed;
+            let heard = self.peers.all[&name].clock_heard_at;
             self.lose_session(now, &name, heard);
         }
     }
@@ -41,7 +42,7 @@
             return;
         };
         let mut over = heard + self.times.over;
-        if !self.settings.safeguards.lost_runs_are_waited_for {
+        if !self.settings.safeguards.lost_attempts_are_waited_for {
             over = now;
         }
         peer.session += 1;
@@ -49,11 +50,11 @@
         peer.stopping = None;
         peer.free.clear();
         peer.used_since = None;
-        let runs = self.jobs.peer_lost(name, over);
-        if runs > 0 {
-            self.out.push(Action::Note(Note::SessionLost {
+        let attempts = self.jobs.peer_lost(name, over);
+        if attempts > 0 {
+            self.out.push(Action::Record(Decision::SessionLost {
                 peer: name.clone(),
-                runs,
+                attempts,
                 over_in_ms: over.saturating_sub(now),
             }));
         }
--- a/crates/dispatcher-core/src/dispatcher/stopping.rs
+++ b/crates/dispatcher-core/src/dispatcher/stopping.rs
@@ -9,7 +9,7 @@
         }
         self.stopping = Some(now);
         for peer in self.peers.all.values_mut() {
-            peer.next_beat = now;
+            peer.next_heartbeat = now;
         }
         self.next_tick = now;
         self.next_assignment = now;
@@ -21,7 +21,7 @@
         };
         let grace = self.settings.bounds.grace_period_ms;
         let stays = since + (grace as f64 * STAYS_SHARE) as Millis;
-        let idle = self.jobs.is_empty() && self.keeper.runs() == 0;
+        let idle = self.jobs.is_empty() && self.targets.attempts() == 0;
         let last = since + grace.saturating_sub(LAST_WORD_MS);
         if now >= last && !self.jobs.is_empty() {
             self.jobs.end_all(now);
--- a/crates/dispatcher-core/src/event.rs
+++ b/crates/dispatcher-core/src/event.rs
@@ -2,14 +2,14 @@
 
 use gannetridge_wire::Name;
 
-use crate::message::{Envelope, HostInfo, Reply, RunKey};
+use crate::message::{AttemptId, Envelope, HostInfo, Reply};
 use crate::queues::Queues;
-use crate::spec::{JobSpec, Room};
+use crate::spec::{JobSpec, Resources};
 use crate::Millis;
 
 /// Stands for a request that the shell has read and will answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct RequestId(pub u64);
 
 /// Stands for a request that the host has asked the shell to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -38,7 +38,7 @@
     /// Its pool.
     pub pool: Name,
     /// What it holds at most.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its kind, its rack and more.
     pub labels: Vec<Name>,
     /// Whether it takes no new work.
@@ -60,14 +60,14 @@
     /// The end's number.
     pub number: u64,
     /// The run.
-    pub key: RunKey,
+    pub key: AttemptId,
     /// How it ended.
-    pub how: ListedHow,
+    pub outcome: ListedOutcome,
 }
 
 /// How a target says that a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListedHow {
+pub enum ListedOutcome {
     /// Done.
     Done,
     /// Failed by its own fault or the target's.
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetReply {
     /// It did what was asked.
-    Done {
+    Accepted {
         /// The target's clock.
         clock: Millis,
     },
@@ -89,32 +89,32 @@
         /// The target's clock.
         clock: Millis,
         /// What runs there.
-        running: Vec<RunKey>,
+        running: Vec<AttemptId>,
         /// What has ended.
         ended: Vec<ListedEnd>,
     },
     /// It did nothing: a higher token has been seen.
-    Fenced {
+    StaleToken {
         /// The target's clock.
         clock: Millis,
     },
     /// It did nothing: a run of this or a higher number was there.
-    Outnumbered {
+    StaleAttempt {
         /// The target's clock.
         clock: Millis,
     },
     /// It did nothing: the order came too late.
-    Late {
+    StartDeadlinePassed {
         /// The target's clock.
         clock: Millis,
     },
     /// It did nothing: there is no room.
-    Full {
+    InsufficientResources {
         /// The target's clock.
         clock: Millis,
     },
     /// It did nothing: it is another life of the target.
-    OtherLife,
+    WrongIncarnation,
     /// It did nothing, since it isn't well or can't read the order.
     Refused {
         /// The status of the reply.
@@ -141,14 +141,14 @@
     /// A caller sent a job.
     Submit {
         /// The request.
-        token: Token,
+        request_id: RequestId,
         /// The job.
         submit: Box<Submit>,
     },
     /// A caller asked for a job's state or a queue's count.
     Ask {
         /// The request.
-        token: Token,
+        request_id: RequestId,
         /// The virtual host that the caller named.
         host: Name,
         /// The path.
@@ -157,7 +157,7 @@
     /// A caller takes a job back.
     Cancel {
         /// The request.
-        token: Token,
+        request_id: RequestId,
         /// The virtual host that the caller named.
         host: Name,
         /// The path.
@@ -166,12 +166,12 @@
     /// The caller of a request is gone.
     CallerGone {
         /// The request.
-        token: Token,
+        request_id: RequestId,
     },
     /// A peer sent a request.
     Peer {
         /// The request.
-        token: Token,
+        request_id: RequestId,
         /// Its contents.
         envelope: Box<Envelope>,
     },
--- a/crates/dispatcher-core/src/pace.rs
+++ b/crates/dispatcher-core/src/heartbeat_intervals.rs
@@ -9,44 +9,44 @@
 use crate::Millis;
 
 /// Heartbeats of one host in the time of one beat to peers that it has no runs
-/// at, as long as the pause doesn't grow beyond [`LONGEST_PAUSE_BEATS`].
-const IDLE_BEATS: usize = 8;
+/// at, as long as the pause doesn't grow beyond [`LONGEST_IDLE_HEARTBEATS`].
+const IDLE_HEARTBEATS: usize = 8;
 /// Longer pauses would let dead hosts go unnoticed for too long.
-const LONGEST_PAUSE_BEATS: f64 = 6.0;
+const LONGEST_IDLE_HEARTBEATS: f64 = 6.0;
 /// A peer lives as long as it was heard within this many pauses: one heartbeat
 /// may be lost.
 const ALIVE_PAUSES: f64 = 2.5;
 /// A peer's targets are left to it for this many vouches since it was heard.
-const DEAD_AFTER_VOUCHES: Millis = 2;
+const DEAD_AFTER_OWNER_LEASES: Millis = 2;
 
 /// Times between hosts, for a number of peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct HeartbeatIntervals {
     /// From one heartbeat to the next where vouches hang on them.
-    pub beat: Millis,
+    pub heartbeat: Millis,
     /// From one heartbeat to the next elsewhere.
     pub idle: Millis,
     /// A peer with runs of this host has to be heard within this.
-    pub vouch: Millis,
+    pub owner_lease: Millis,
     /// Any other peer is taken to live for this long since it answered.
     pub alive: Millis,
     /// A peer's targets are left to it for this long since it was heard.
     pub dead: Millis,
 }
 
-impl Pace {
+impl HeartbeatIntervals {
     /// Reckons the times for a number of peers.
     #[must_use]
     pub fn new(times: &Times, peers: usize) -> Self {
-        let share = peers as f64 / IDLE_BEATS as f64;
-        let idle = times.beat as f64 * share.clamp(1.0, LONGEST_PAUSE_BEATS);
-        let alive = ((idle * ALIVE_PAUSES) as Millis).max(times.vouch);
+        let share = peers as f64 / IDLE_HEARTBEATS as f64;
+        let idle = times.heartbeat as f64 * share.clamp(1.0, LONGEST_IDLE_HEARTBEATS);
+        let alive = ((idle * ALIVE_PAUSES) as Millis).max(times.owner_lease);
         Self {
-            beat: times.beat,
+            heartbeat: times.heartbeat,
             idle: idle as Millis,
-            vouch: times.vouch,
+            owner_lease: times.owner_lease,
             alive,
-            dead: alive.max(DEAD_AFTER_VOUCHES * times.vouch),
+            dead: alive.max(DEAD_AFTER_OWNER_LEASES * times.owner_lease),
         }
     }
 }
--- a/crates/dispatcher-core/src/jobs/runs.rs
+++ b/crates/dispatcher-core/src/jobs/attempts.rs
@@ -26,7 +26,7 @@
     }
 
     /// Finds the task of a run, if the run is its last.
-    pub(super) fn find(&mut self, key: &RunKey) -> Option<(Name, usize)> {
+    pub(super) fn find(&mut self, key: &AttemptId) -> Option<(Name, usize)> {
         let (id, rest) = key.task.split_once('.')?;
         let (id, job) = self.jobs.get_key_value(id)?;
         let mut numbers = rest.split('.').skip(1);
@@ -34,12 +34,12 @@
         let within: usize = numbers.next()?.parse().ok()?;
         let first = job.tasks.iter().position(|task| task.step == step)?;
         let index = first + within;
-        let current = job.tasks.get(index)?.run == key.run;
+        let current = job.tasks.get(index)?.attempt == key.attempt;
         current.then(|| (id.clone(), index))
     }
 
     /// Takes a peer's word on a task that it was asked to start.
-    pub fn placed(&mut self, now: Millis, key: &RunKey, peer: &Name, taken: bool) {
+    pub fn placed(&mut self, now: Millis, key: &AttemptId, peer: &Name, taken: bool) {
         let Some((id, index)) = self.find(key) else {
             if taken {
                 // The job ended meanwhile.
@@ -61,7 +61,7 @@
     }
 
     /// Takes the end of a run in.
-    pub fn run_ended(&mut self, now: Millis, end: &RunEnd) {
+    pub fn attempt_ended(&mut self, now: Millis, end: &AttemptEnd) {
         let Some((id, index)) = self.find(&end.key) else {
             return;
         };
@@ -69,7 +69,7 @@
         let task = &mut job.tasks[index];
         if !matches!(task.state, TaskState::Runs(_) | TaskState::Asked(_)) {
             // What is over by reckoning may still be told to be done.
-            let done = end.end == End::Done && matches!(task.state, TaskState::Lost(_));
+            let done = end.end == AttemptOutcome::Done && matches!(task.state, TaskState::Lost(_));
             if !done {
                 return;
             }
@@ -77,7 +77,7 @@
         job.begun = true;
         job.next_look = 0;
         match end.end {
-            End::Done => {
+            AttemptOutcome::Done => {
                 task.state = TaskState::Done;
                 if job.done() == job.tasks.len() {
                     self.end(now, &id, Cause::Done);
@@ -85,22 +85,22 @@
                     job.unblock();
                 }
             }
-            End::Failed => {
+            AttemptOutcome::Failed => {
                 task.failures += 1;
-                task.run += 1;
+                task.attempt += 1;
                 task.state = TaskState::Waiting;
                 avoid(task, &end.target);
                 if task.failures >= job.queue.max_attempts.max(1) {
                     self.end(now, &id, Cause::Attempts);
                 }
             }
-            End::Lost => {
-                task.run += 1;
+            AttemptOutcome::Lost => {
+                task.attempt += 1;
                 task.state = TaskState::Waiting;
                 avoid(task, &end.target);
             }
-            End::Outnumbered => {
-                task.run += RUN_LEAP;
+            AttemptOutcome::StaleAttempt => {
+                task.attempt += STALE_ATTEMPT_SKIP;
                 task.state = TaskState::Waiting;
             }
         }
@@ -109,7 +109,7 @@
 
     /// Returns the peers that have been handed tasks which aren't over.
     #[must_use]
-    pub fn peers_with_runs(&self) -> HashSet<Name> {
+    pub fn peers_with_attempts(&self) -> HashSet<Name> {
         let tasks = self.jobs.values().flat_map(|job| &job.tasks);
         let peers = tasks.filter_map(|task| match &task.state {
             TaskState::Asked(peer) | TaskState::Runs(Some(peer)) => Some(peer),
--- a/crates/dispatcher-core/src/jobs/ending.rs
+++ b/crates/dispatcher-core/src/jobs/ending.rs
@@ -6,7 +6,7 @@
     /// Does what is due.
     pub fn tick(&mut self, now: Millis) {
         self.ended.retain(|_, (_, until)| *until > now);
-        self.next_runs.retain(|_, (_, until)| *until > now);
+        self.next_attempts.retain(|_, (_, until)| *until > now);
         let due = self.jobs.iter().filter(|(_, job)| job.next_look <= now);
         let due: Vec<Name> = due.map(|(id, _)| id.clone()).collect();
         for id in due {
@@ -19,7 +19,7 @@
         let job = self.jobs.get_mut(id).expect("the job was found");
         for task in &mut job.tasks {
             if matches!(task.state, TaskState::Lost(over) if over <= now) {
-                task.run += 1;
+                task.attempt += 1;
                 task.state = TaskState::Waiting;
             }
         }
@@ -50,7 +50,7 @@
         if let Some(ready) = &job.ready {
             self.ready.remove(ready);
         }
-        self.stop_runs(id, &job);
+        self.stop_attempts(id, &job);
         let took_ms = now.saturating_sub(job.taken);
         let answer = match cause {
             Cause::Done => Answer::Completed,
@@ -58,36 +58,36 @@
             Cause::Attempts => Answer::Failed,
             _ if !job.may_have_begun() || !self.safeguards.begun_is_not_refused => {
                 Answer::Refused {
-                    retry_after_ms: job.aim_ms.clamp(RETRY_AFTER_MS.0, RETRY_AFTER_MS.1),
+                    retry_after_ms: job.objective_ms.clamp(RETRY_AFTER_MS.0, RETRY_AFTER_MS.1),
                 }
             }
             _ => Answer::Unfinished,
         };
-        for token in &job.tokens {
-            self.by_token.remove(token);
+        for request_id in &job.request_ids {
+            self.by_request.remove(request_id);
             self.out.push(Action::Answer {
-                token: *token,
+                request_id: *request_id,
                 answer: answer.clone(),
             });
         }
         if matches!(answer, Answer::Completed | Answer::Cancelled) {
             self.remember(id, answer, now + REMEMBER_MS);
         } else {
-            let last = job.tasks.iter().map(|task| task.run).max();
-            self.remember_run(id, last.unwrap_or(0) + 1, now + REMEMBER_MS);
+            let last = job.tasks.iter().map(|task| task.attempt).max();
+            self.remember_attempt(id, last.unwrap_or(0) + 1, now + REMEMBER_MS);
         }
-        self.out.push(Action::Note(Note::JobEnded {
+        self.out.push(Action::Record(Decision::JobEnded {
             job: id.clone(),
             queue: job.queue.name.clone(),
             cause,
             done: job.done(),
             starts: job.starts,
             took_ms,
-            aim_ms: job.aim_ms,
+            objective_ms: job.objective_ms,
         }));
     }
 
-    pub(super) fn stop_runs(&mut self, id: &Name, job: &Job) {
+    pub(super) fn stop_attempts(&mut self, id: &Name, job: &Job) {
         let mut within = vec![0; job.spec.steps.len()];
         for task in &job.tasks {
             let place = within[task.step];
@@ -97,19 +97,19 @@
                 TaskState::Asked(peer) => Some(peer.clone()),
                 _ => continue,
             };
-            let key = RunKey {
+            let key = AttemptId {
                 task: format!("{id}.0.{}.{place}", task.step).into(),
-                run: task.run,
+                attempt: task.attempt,
             };
             self.stops.push((peer, key));
         }
     }
 
-    pub(super) fn remember_run(&mut self, id: &Name, next: u32, until: Millis) {
-        if self.next_runs.len() >= MAX_REMEMBERED {
-            self.next_runs.pop_first();
+    pub(super) fn remember_attempt(&mut self, id: &Name, next: u32, until: Millis) {
+        if self.next_attempts.len() >= MAX_REMEMBERED {
+            self.next_attempts.pop_first();
         }
-        self.next_runs.insert(id.clone(), (next, until));
+        self.next_attempts.insert(id.clone(), (next, until));
     }
 
     pub(super) fn remember(&mut self, id: &Name, answer: Answer, until: Millis) {
--- a/crates/dispatcher-core/src/jobs/mod.rs
+++ b/crates/dispatcher-core/src/jobs/mod.rs
@@ -1,7 +1,7 @@
 //! The owner's side: jobs of the callers that are connected here.
 
+mod attempts;
 mod ending;
-mod runs;
 mod waiting;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -9,12 +9,14 @@
 use gannetridge_wire::Name;
 
 use crate::action::{Action, Answer};
-use crate::event::{Submit, Token};
-use crate::message::{End, Rank, RunEnd, RunKey, TaskOrder, Urge, Want};
-use crate::note::{Cause, Note};
+use crate::decision::{Cause, Decision};
+use crate::event::{RequestId, Submit};
+use crate::message::{
+    AttemptEnd, AttemptId, AttemptOutcome, Demand, Priority, PriorityClass, TaskOrder,
+};
 use crate::queues::Queue;
 use crate::settings::Safeguards;
-use crate::spec::{JobSpec, Room};
+use crate::spec::{JobSpec, Resources};
 use crate::Millis;
 
 /// The longest that a caller's job may take where the caller names no time.
@@ -39,7 +41,7 @@
 /// mere belief for this long.
 const ASK_PAUSE_MS: Millis = 25;
 /// A target that had seen a higher run is passed by this much.
-const RUN_LEAP: u32 = 16;
+const STALE_ATTEMPT_SKIP: u32 = 16;
 
 /// Where a task stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -62,7 +64,7 @@
 struct Task {
     step: usize,
     state: TaskState,
-    run: u32,
+    attempt: u32,
     failures: u32,
     avoid: Vec<Name>,
     /// A peer that took it for free said no: others are asked on belief no
@@ -75,9 +77,9 @@
 struct Job {
     queue: Queue,
     spec: JobSpec,
-    tokens: Vec<Token>,
+    request_ids: Vec<RequestId>,
     taken: Millis,
-    aim_ms: Millis,
+    objective_ms: Millis,
     deadline: Millis,
     tasks: Vec<Task>,
     /// Whether a task of it was started, or is lost.
@@ -90,18 +92,18 @@
 }
 
 impl Job {
-    fn urge(&self, now: Millis, step: usize) -> Urge {
+    fn priority(&self, now: Millis, step: usize) -> Priority {
         let estimate = self.spec.steps[step].estimate_ms as i64;
         let since = now.saturating_sub(self.taken) as i64;
-        let slack = self.aim_ms as i64 - estimate - since;
+        let slack = self.objective_ms as i64 - estimate - since;
         let late_slack = self.worth_ms() as i64 - estimate - since;
         let (rank, slack_ms) = match (self.begun, slack >= 0, late_slack >= 0) {
-            (_, _, false) => (Rank::Worthless, late_slack),
-            (true, _, _) => (Rank::Begun, slack),
-            (false, true, _) => (Rank::InAim, slack),
-            (false, false, _) => (Rank::Late, late_slack),
+            (_, _, false) => (PriorityClass::Worthless, late_slack),
+            (true, _, _) => (PriorityClass::Begun, slack),
+            (false, true, _) => (PriorityClass::OnTime, slack),
+            (false, false, _) => (PriorityClass::Late, late_slack),
         };
-        Urge {
+        Priority {
             rank,
             urgency: self.queue.urgency,
             slack_ms,
@@ -110,7 +112,7 @@
 
     /// Returns for how long an answer is worth something.
     fn worth_ms(&self) -> Millis {
-        self.aim_ms * LATE_FACTOR
+        self.objective_ms * LATE_FACTOR
     }
 
     /// Tells whether a task may have begun: only where none can have, the job
@@ -158,7 +160,7 @@
 /// A job's place in the order of those with tasks that wait.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Ready {
-    rank: Rank,
+    rank: PriorityClass,
     urgency: u8,
     /// The latest start that keeps the rank.
     latest: i64,
@@ -173,9 +175,9 @@
     /// Its place in the job.
     pub index: usize,
     /// How urgent it is.
-    pub urge: Urge,
+    pub priority: Priority,
     /// What it takes.
-    pub room: Room,
+    pub resources: Resources,
     /// Whether peers may be asked that are only believed to have room.
     pub may_ask: bool,
 }
@@ -185,7 +187,7 @@
 pub struct Jobs {
     safeguards: Safeguards,
     jobs: BTreeMap<Name, Job>,
-    by_token: HashMap<Token, Name>,
+    by_request: HashMap<RequestId, Name>,
     /// Jobs with tasks that wait, the most urgent first. Within a rank the
     /// order doesn't change with the time; ranks are looked at again with
     /// each tick.
@@ -193,9 +195,9 @@
     ended: BTreeMap<Name, (Answer, Millis)>,
     /// The first runs of jobs that may come again, above all earlier ones:
     /// what is still told of those can't be taken for news of these.
-    next_runs: BTreeMap<Name, (u32, Millis)>,
+    next_attempts: BTreeMap<Name, (u32, Millis)>,
     /// Runs that are to be ended, with the peer that has them.
-    pub stops: Vec<(Option<Name>, RunKey)>,
+    pub stops: Vec<(Option<Name>, AttemptId)>,
     /// What to do.
     pub out: Vec<Action>,
 }
@@ -247,7 +249,7 @@
     pub fn submit(
         &mut self,
         now: Millis,
-        token: Token,
+        request_id: RequestId,
         id: Name,
         submit: Submit,
         queue: &Queue,
@@ -255,51 +257,54 @@
     ) {
         if let Some((answer, _)) = self.ended.get(&id) {
             let answer = answer.clone();
-            self.out.push(Action::Answer { token, answer });
+            self.out.push(Action::Answer { request_id, answer });
             return;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.tokens.push(token);
-            self.by_token.insert(token, id);
+            job.request_ids.push(request_id);
+            self.by_request.insert(request_id, id);
             return;
         }
         if self.jobs.len() >= MAX_JOBS {
             let answer = Answer::Refused {
                 retry_after_ms: RETRY_AFTER_MS.1,
             };
-            self.out.push(Action::Answer { token, answer });
+            self.out.push(Action::Answer { request_id, answer });
             return;
         }
         let wait = submit.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-        let aim_ms = queue.aim(submit.spec.chain_ms());
-        let run = self.next_runs.get(&id).map_or(1, |(run, _)| *run);
+        let objective_ms = queue.latency_objective(submit.spec.chain_ms());
+        let attempt = self
+            .next_attempts
+            .get(&id)
+            .map_or(1, |(attempt, _)| *attempt);
         let mut tasks = Vec::new();
         for (step, spec) in submit.spec.steps.iter().enumerate() {
             for _ in 0..spec.count {
                 tasks.push(Task {
                     step,
                     state: TaskState::Blocked,
-                    run,
+                    attempt,
                     failures: 0,
                     avoid: Vec::new(),
                     ask_after: 0,
                 });
             }
         }
-        self.out.push(Action::Note(Note::JobTaken {
+        self.out.push(Action::Record(Decision::JobTaken {
             job: id.clone(),
             queue: queue.name.clone(),
             tasks: tasks.len(),
-            aim_ms,
+            objective_ms,
             deadline_ms: wait,
             version,
         }));
         let mut job = Job {
             queue: queue.clone(),
             spec: submit.spec,
-            tokens: vec![token],
+            request_ids: vec![request_id],
             taken: now,
-            aim_ms,
+            objective_ms,
             deadline: now + wait.saturating_sub(ANSWER_MS),
             tasks,
             begun: false,
@@ -308,19 +313,19 @@
             next_look: 0,
         };
         job.unblock();
-        self.by_token.insert(token, id.clone());
+        self.by_request.insert(request_id, id.clone());
         self.jobs.insert(id.clone(), job);
         self.rank(now, &id);
     }
 
     /// The caller of a request is gone; its job ends unless others wait.
-    pub fn caller_gone(&mut self, now: Millis, token: Token) {
-        let Some(id) = self.by_token.remove(&token) else {
+    pub fn caller_gone(&mut self, now: Millis, request_id: RequestId) {
+        let Some(id) = self.by_request.remove(&request_id) else {
             return;
         };
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.tokens.retain(|other| *other != token);
-            if job.tokens.is_empty() {
+            job.request_ids.retain(|other| *other != request_id);
+            if job.request_ids.is_empty() {
                 self.end(now, &id, Cause::CallerGone);
             }
         }
@@ -351,14 +356,15 @@
         .iter()
         .filter(|task| task.state != TaskState::Done);
     if !job.may_have_begun() {
-        let worthless = open.any(|task| job.urge(now, task.step).rank == Rank::Worthless);
+        let worthless =
+            open.any(|task| job.priority(now, task.step).rank == PriorityClass::Worthless);
         return (waited_enough || worthless).then_some(Cause::NoRoom);
     }
     if now >= job.deadline {
         return Some(Cause::Deadline);
     }
     // What runs is let run: breaking it off would gain nothing.
-    let runs = job
+    let attempts = job
         .tasks
         .iter()
         .any(|task| matches!(task.state, TaskState::Runs(_) | TaskState::Asked(_)));
@@ -367,23 +373,23 @@
         let end = now + estimate as Millis;
         end >= job.deadline || end >= job.taken + job.worth_ms()
     });
-    (hopeless && !runs).then_some(Cause::Deadline)
+    (hopeless && !attempts).then_some(Cause::Deadline)
 }
 
 /// Sums up tasks of one pool that found no room.
 #[must_use]
-pub fn want(left: &[WaitingTask], pool: &Name) -> Option<Want> {
+pub fn demand(left: &[WaitingTask], pool: &Name) -> Option<Demand> {
     let first = left.first()?;
-    let mut least = first.room;
+    let mut least = first.resources;
     for task in left {
-        least = Room {
-            cpu: least.cpu.min(task.room.cpu),
-            memory_mb: least.memory_mb.min(task.room.memory_mb),
-            gpus: least.gpus.min(task.room.gpus),
+        least = Resources {
+            cpu: least.cpu.min(task.resources.cpu),
+            memory_mb: least.memory_mb.min(task.resources.memory_mb),
+            gpus: least.gpus.min(task.resources.gpus),
         };
     }
-    Some(Want {
-        urge: first.urge,
+    Some(Demand {
+        priority: first.priority,
         pool: pool.clone(),
         least,
         count: left.len() as u32,
--- a/crates/dispatcher-core/src/jobs/waiting.rs
+++ b/crates/dispatcher-core/src/jobs/waiting.rs
@@ -15,7 +15,7 @@
         let mut waiting = Vec::new();
         for ready in &self.ready {
             let job = &self.jobs[&ready.job];
-            let urge = Urge {
+            let priority = Priority {
                 rank: ready.rank,
                 urgency: ready.urgency,
                 slack_ms: ready.latest - now as i64,
@@ -25,8 +25,8 @@
                     waiting.push(WaitingTask {
                         job: ready.job.clone(),
                         index,
-                        urge,
-                        room: job.spec.steps[task.step].room,
+                        priority,
+                        resources: job.spec.steps[task.step].resources,
                         may_ask: task.ask_after <= now,
                     });
                 }
@@ -46,13 +46,13 @@
         };
         let waiting = job.tasks.iter();
         let waiting = waiting.filter(|task| task.state == TaskState::Waiting);
-        let urges = waiting.map(|task| job.urge(now, task.step));
-        let least = urges.min_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
-        let ready = least.filter(|urge| urge.rank != Rank::Worthless);
-        let ready = ready.map(|urge| Ready {
-            rank: urge.rank,
-            urgency: urge.urgency,
-            latest: urge.slack_ms + now as i64,
+        let priorities = waiting.map(|task| job.priority(now, task.step));
+        let least = priorities.min_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
+        let ready = least.filter(|priority| priority.rank != PriorityClass::Worthless);
+        let ready = ready.map(|priority| Ready {
+            rank: priority.rank,
+            urgency: priority.urgency,
+            latest: priority.slack_ms + now as i64,
             job: id.clone(),
         });
         if job.ready == ready {
@@ -78,13 +78,13 @@
         let within = index - first.expect("the task itself is of its step");
         let step_name = format!("{id}.0.{}", task.step);
         TaskOrder {
-            key: RunKey {
+            key: AttemptId {
                 task: format!("{step_name}.{within}").into(),
-                run: task.run,
+                attempt: task.attempt,
             },
             specification: job.spec.specification.clone(),
             pool: job.queue.pool.clone(),
-            room: step.room,
+            resources: step.resources,
             estimate_ms: step.estimate_ms,
             requirement: step.requirement.clone(),
             rack: step.rack.clone(),
--- a/crates/dispatcher-core/src/lib.rs
+++ b/crates/dispatcher-core/src/lib.rs
@@ -5,7 +5,7 @@
 //! share the work:
 //!
 //! - [`jobs`]: the owner's side, for jobs of the callers connected here
-//! - [`keeper`]: the targets that this host looks after
+//! - [`targets`]: the targets that this host looks after
 //! - [`peers`]: the other hosts, heartbeats and the rights that hang on them
 //!
 //! Times are milliseconds of this host's steady clock unless a name says
@@ -13,23 +13,23 @@
 
 pub mod action;
 pub mod assignment;
+pub mod decision;
 pub mod dispatcher;
 pub mod event;
+pub mod heartbeat_intervals;
 pub mod jobs;
-pub mod keeper;
 pub mod message;
-pub mod note;
-pub mod pace;
 pub mod peers;
 pub mod queues;
 pub mod settings;
 pub mod spec;
-pub mod target;
+pub mod target_state;
+pub mod targets;
 
-pub use action::{Action, Answer, RunOrder, TargetCall};
+pub use action::{Action, Answer, StartOrder, TargetCall};
+pub use decision::Decision;
 pub use dispatcher::Dispatcher;
-pub use event::{CallId, Event, SendFailure, TargetReply, Token};
-pub use note::Note;
+pub use event::{CallId, Event, RequestId, SendFailure, TargetReply};
 pub use settings::{Bounds, BoundsError, Safeguards, Settings};
 
 /// Milliseconds of this host's steady clock.
--- a/crates/dispatcher-core/src/message.rs
+++ b/crates/dispatcher-core/src/message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::queues::Queues;
-use crate::spec::Room;
+use crate::spec::Resources;
 use crate::Millis;
 
 /// One life of a host's process.
@@ -21,12 +21,12 @@
     /// Grows from life to life.
     pub incarnation: u64,
     /// The processor time that it has, in thousandths of a core.
-    pub power: u32,
+    pub processor_weight: u32,
 }
 
 /// A receiver's own clock, brought back to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Echo {
+pub struct EchoedClock {
     /// The receiver's life whose clock it is.
     pub incarnation: u64,
     /// Its clock as last heard.
@@ -41,7 +41,7 @@
     /// Runs of lower sessions of this sender are to end.
     pub session: u64,
     /// The receiver's clock as the sender last heard it.
-    pub echo: Option<Echo>,
+    pub echoed_clock: Option<EchoedClock>,
     /// The sender's clock when it sent this.
     pub clock: Millis,
     /// What is asked.
@@ -50,24 +50,24 @@
 
 /// One start of one task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RunKey {
+pub struct AttemptId {
     /// The task's name.
     pub task: Name,
     /// Counts the task's starts.
-    pub run: u32,
+    pub attempt: u32,
 }
 
 /// A task to be started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskOrder {
     /// The task and its run.
-    pub key: RunKey,
+    pub key: AttemptId,
     /// What the task is told.
     pub specification: Name,
     /// The pool whose targets may run it.
     pub pool: Name,
     /// What it takes.
-    pub room: Room,
+    pub resources: Resources,
     /// A rough guess of its time.
     pub estimate_ms: Millis,
     /// A label that the target must have.
@@ -82,11 +82,12 @@
 
 /// What decides first between waiting tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Rank {
+pub enum PriorityClass {
     /// Others of its job run or are done: without it they were for nothing.
     Begun,
     /// Its job's aim can be met.
-    InAim,
+    #[serde(rename = "InAim")]
+    OnTime,
     /// Its job will be late, and is still worth something.
     Late,
     /// An answer would be worth nothing any more.
@@ -95,9 +96,9 @@
 
 /// How urgent the most urgent of some waiting tasks is; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub struct Urge {
-    /// Goes first; see [`Rank`].
-    pub rank: Rank,
+pub struct Priority {
+    /// Goes first; see [`PriorityClass`].
+    pub rank: PriorityClass,
     /// The queue's: 0 goes before others of its rank.
     pub urgency: u8,
     /// Until the latest start that keeps the rank, in ms from now.
@@ -106,29 +107,29 @@
 
 /// Tasks that found no room at their owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct Demand {
     /// The most urgent one's urge.
-    pub urge: Urge,
+    pub priority: Priority,
     /// The pool.
     pub pool: Name,
     /// The least that any of them takes.
-    pub least: Room,
+    pub least: Resources,
     /// How many there are.
     pub count: u32,
 }
 
 /// Free room of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FreeRoom {
+pub struct FreeResources {
     /// The target's pool.
     pub pool: Name,
     /// What is free.
-    pub room: Room,
+    pub resources: Resources,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum AttemptOutcome {
     /// The task is done.
     Done,
     /// The task failed, by its own fault or the target's.
@@ -136,16 +137,17 @@
     /// The run was ended from outside, or can't have begun.
     Lost,
     /// The target has seen a run of this or a higher number.
-    Outnumbered,
+    #[serde(rename = "Outnumbered")]
+    StaleAttempt,
 }
 
 /// The end of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunEnd {
+pub struct AttemptEnd {
     /// The run.
-    pub key: RunKey,
+    pub key: AttemptId,
     /// How it ended.
-    pub end: End,
+    pub end: AttemptOutcome,
     /// Where.
     pub target: Name,
 }
@@ -154,23 +156,26 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
     /// Says that the sender lives.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// Asks to start what fits.
     Place(Vec<TaskOrder>),
     /// Asks for offers, or takes the question back.
-    Want(Option<Want>),
+    #[serde(rename = "Want")]
+    Demand(Option<Demand>),
     /// Offers room that is kept free for a moment.
-    Offer(FreeRoom),
+    #[serde(rename = "Offer")]
+    Reservation(FreeResources),
     /// Asks to end runs. With `report` the end of each is told, at once of
     /// those that aren't there and now never will be.
     Stop {
         /// The runs.
-        keys: Vec<RunKey>,
+        keys: Vec<AttemptId>,
         /// Whether their ends matter to the sender.
         report: bool,
     },
     /// Tells how the receiver's runs ended.
-    Ended(Vec<RunEnd>),
+    Ended(Vec<AttemptEnd>),
     /// Asks for the configuration.
     Queues,
 }
@@ -180,10 +185,10 @@
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
-            Self::Beat(_) => "beat",
+            Self::Heartbeat(_) => "beat",
             Self::Place(_) => "place",
-            Self::Want(_) => "want",
-            Self::Offer(_) => "offer",
+            Self::Demand(_) => "want",
+            Self::Reservation(_) => "offer",
             Self::Stop { .. } => "stop",
             Self::Ended(_) => "ended",
             Self::Queues => "queues",
@@ -193,7 +198,7 @@
 
 /// A host's heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Whether the host stops in order.
     pub leaving: bool,
     /// The version of its configuration.
@@ -210,7 +215,7 @@
     /// Its clock when it replied.
     pub clock: Millis,
     /// Its free room, a row for each target with some.
-    pub free: Vec<FreeRoom>,
+    pub free: Vec<FreeResources>,
     /// The rest.
     pub body: ReplyBody,
 }
@@ -219,7 +224,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ReplyBody {
     /// To a heartbeat.
-    Beat(BeatReply),
+    #[serde(rename = "Beat")]
+    Heartbeat(HeartbeatReply),
     /// The places in the request of the tasks that were taken.
     Placed(Vec<u32>),
     /// Whether a request for the offered room follows.
@@ -227,20 +233,21 @@
     /// The configuration, if there is one.
     Queues(Option<Queues>),
     /// Taken note of.
-    Noted,
+    #[serde(rename = "Noted")]
+    Acknowledged,
     /// Nothing was done: the sender's echo is too old.
     Stale,
 }
 
 /// The reply to a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BeatReply {
+pub struct HeartbeatReply {
     /// Whether the host stops in order.
     pub leaving: bool,
     /// The version of its configuration.
     pub version: u64,
     /// The targets that it looks after.
-    pub kept: Vec<Name>,
+    pub leased: Vec<Name>,
     /// The hosts that it knows, itself among them, if the sender knows others.
     pub hosts: Vec<HostInfo>,
 }
--- a/crates/dispatcher-core/src/peers/mod.rs
+++ b/crates/dispatcher-core/src/peers/mod.rs
@@ -9,22 +9,22 @@
 use gannetridge_wire::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::message::{BeatReply, HostInfo, Reply, TaskOrder};
-use crate::pace::Pace;
+use crate::heartbeat_intervals::HeartbeatIntervals;
+use crate::message::{HeartbeatReply, HostInfo, Reply, TaskOrder};
 use crate::settings::Times;
-use crate::spec::Room;
+use crate::spec::Resources;
 use crate::Millis;
 
 pub use peer::Peer;
 
 /// Between heartbeats to a peer that doesn't answer.
-const SILENT_BEAT_MS: Millis = 500;
+const SILENT_HEARTBEAT_MS: Millis = 500;
 /// Hosts that were never heard for this long are forgotten.
 const FORGET_MS: Millis = 60_000;
 /// A want that isn't renewed ends after this.
-pub const WANT_MS: Millis = 300;
+pub const DEMAND_TTL_MS: Millis = 300;
 /// The most peers that are told of a want at a time.
-const WANT_PEERS: usize = 8;
+const ADVERTISED_PEERS: usize = 8;
 
 /// A peer that is believed to have room.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,11 +40,11 @@
 pub struct Peers {
     own: HostInfo,
     times: Times,
-    pace: Pace,
+    intervals: HeartbeatIntervals,
     /// A hash of the hosts that are known.
     hash: u64,
     /// Where in the list of peers the next want begins.
-    next_want: usize,
+    next_advertised: usize,
     seeds: Vec<SocketAddr>,
     next_seeds: Millis,
     /// By name.
@@ -60,9 +60,9 @@
             seeds: others.copied().collect(),
             own,
             times,
-            pace: Pace::new(&times, 0),
+            intervals: HeartbeatIntervals::new(&times, 0),
             hash: 0,
-            next_want: 0,
+            next_advertised: 0,
             next_seeds: 0,
             all: BTreeMap::new(),
         };
@@ -72,13 +72,13 @@
 
     /// Returns the times between hosts.
     #[must_use]
-    pub fn pace(&self) -> Pace {
-        self.pace
+    pub fn intervals(&self) -> HeartbeatIntervals {
+        self.intervals
     }
 
     /// Brings up to date what depends on which hosts are known.
     fn count_anew(&mut self) {
-        self.pace = Pace::new(&self.times, self.all.len());
+        self.intervals = HeartbeatIntervals::new(&self.times, self.all.len());
         let mut text = String::new();
         for host in self.hosts() {
             text.push_str(&format!("{} {}\n", host.name, host.incarnation));
@@ -105,7 +105,7 @@
             Some(peer) if info.incarnation > peer.info.incarnation => {
                 peer.info = info.clone();
                 peer.refused = false;
-                peer.next_beat = now;
+                peer.next_heartbeat = now;
                 peer.begin_life(info.incarnation);
             }
             Some(_) => return,
@@ -132,7 +132,7 @@
     #[must_use]
     pub fn staying(&self, now: Millis, own_stays: bool) -> Vec<HostInfo> {
         let others = self.all.values();
-        let others = others.filter(|p| !p.leaving && p.holds_targets(now, &self.pace));
+        let others = others.filter(|p| !p.leaving && p.may_hold_targets(now, &self.intervals));
         let others = others.map(|peer| peer.info.clone());
         let own = own_stays.then(|| self.own.clone());
         others.chain(own).collect()
@@ -141,13 +141,13 @@
     /// Tells whether another host looks after a target: one that lives, or one
     /// that this host may only not hear.
     #[must_use]
-    pub fn is_kept(&self, now: Millis, target: &Name) -> bool {
+    pub fn is_leased_elsewhere(&self, now: Millis, target: &Name) -> bool {
         let isolated = self.is_isolated(now);
         let mut peers = self.all.values();
         peers.any(|peer| {
             let unheard = isolated && peer.was_there(now);
-            let there = peer.holds_targets(now, &self.pace) || unheard;
-            there && peer.kept.contains(target)
+            let there = peer.may_hold_targets(now, &self.intervals) || unheard;
+            there && peer.leased.contains(target)
         })
     }
 
@@ -158,7 +158,7 @@
         let (mut heard, mut all) = (1, 1);
         for peer in peers {
             all += 1;
-            heard += usize::from(peer.holds_targets(now, &self.pace));
+            heard += usize::from(peer.may_hold_targets(now, &self.intervals));
         }
         2 * heard < all
     }
@@ -173,8 +173,8 @@
             return false;
         }
         let another = peer
-            .echo
-            .is_some_and(|echo| echo.incarnation != reply.incarnation);
+            .echoed_clock
+            .is_some_and(|echoed_clock| echoed_clock.incarnation != reply.incarnation);
         peer.hear_clock(now, reply.incarnation, reply.clock);
         peer.heard = now;
         peer.refused = false;
@@ -188,23 +188,23 @@
     }
 
     /// Takes what the reply to a heartbeat says.
-    pub fn beat_replied(&mut self, now: Millis, name: &Name, reply: &BeatReply) {
+    pub fn heartbeat_replied(&mut self, now: Millis, name: &Name, reply: &HeartbeatReply) {
         for host in &reply.hosts {
             self.learn(now, host);
         }
         if let Some(peer) = self.all.get_mut(name) {
             peer.leaving = reply.leaving;
             peer.version = reply.version;
-            peer.kept = reply.kept.iter().cloned().collect();
+            peer.leased = reply.leased.iter().cloned().collect();
         }
     }
 
     /// Tells whether any peer is believed to have such room.
     #[must_use]
-    pub fn may_fit(&self, now: Millis, room: &Room) -> bool {
+    pub fn may_fit(&self, now: Millis, resources: &Resources) -> bool {
         let peers = self.all.values();
-        let mut open = peers.filter(|peer| peer.takes_tasks(now, &self.pace));
-        open.any(|peer| peer.free.iter().any(|free| free.room.fits(room)))
+        let mut open = peers.filter(|peer| peer.takes_tasks(now, &self.intervals));
+        open.any(|peer| peer.free.iter().any(|free| free.resources.fits(resources)))
     }
 
     /// Picks a peer that is believed to have room, its own hall first, and
@@ -213,20 +213,21 @@
     /// Peers that `is_asked` tells to be asked at the same time go before
     /// others, so that one request carries many tasks. Of the others the freer
     /// of two is taken: with the freest of all, all hosts would ask the same.
-    pub fn with_room(
+    pub fn choose(
         &mut self,
         now: Millis,
         order: &TaskOrder,
         is_asked: impl Fn(&Name) -> bool,
     ) -> Option<Candidate> {
-        let pace = self.pace;
+        let intervals = self.intervals;
         let rank = |peer: &Peer| {
             let far = peer.info.hall != self.own.hall;
             let asked = is_asked(&peer.info.name);
-            (far, !asked, !peer.has_fresh_echo(now, &pace))
+            (far, !asked, !peer.has_fresh_clock(now, &intervals))
         };
         let open = self.all.values();
-        let open = open.filter(|peer| peer.takes_tasks(now, &pace) && peer.has_room(order));
+        let open =
+            open.filter(|peer| peer.takes_tasks(now, &intervals) && peer.has_resources(order));
         let ranked: Vec<_> = open.map(|peer| (rank(peer), peer)).collect();
         let best = ranked.iter().map(|(rank, _)| *rank).min()?;
         let best = ranked.iter().filter(|(rank, _)| *rank == best);
@@ -234,7 +235,7 @@
         let picked = freer_of_two(&best, &order.key.task);
         let candidate = Candidate {
             name: picked.info.name.clone(),
-            fresh: picked.has_fresh_echo(now, &pace),
+            fresh: picked.has_fresh_clock(now, &intervals),
         };
         if let Some(peer) = self.all.get_mut(&candidate.name) {
             peer.reserve(order);
@@ -243,18 +244,21 @@
     }
 
     /// Returns the peers that a heartbeat is due to.
-    pub fn beats_due(&mut self, now: Millis) -> Vec<Name> {
-        let pace = self.pace;
-        let due = self.all.values_mut().filter(|peer| peer.next_beat <= now);
+    pub fn heartbeats_due(&mut self, now: Millis) -> Vec<Name> {
+        let intervals = self.intervals;
+        let due = self
+            .all
+            .values_mut()
+            .filter(|peer| peer.next_heartbeat <= now);
         due.map(|peer| {
-            let alive = peer.is_alive(now, &pace);
+            let alive = peer.is_alive(now, &intervals);
             let pause = match (alive, peer.used_since) {
-                (true, Some(_)) => pace.beat,
-                (true, None) => pace.idle,
-                (false, _) => SILENT_BEAT_MS.max(pace.idle),
+                (true, Some(_)) => intervals.heartbeat,
+                (true, None) => intervals.idle,
+                (false, _) => SILENT_HEARTBEAT_MS.max(intervals.idle),
             };
-            peer.next_beat = now + pause;
-            peer.last_beat = now;
+            peer.next_heartbeat = now + pause;
+            peer.last_heartbeat = now;
             peer.info.name.clone()
         })
         .collect()
@@ -266,7 +270,7 @@
             if !used.contains(name) {
                 peer.used_since = None;
             } else if peer.used_since.is_none() {
-                peer.begin_use(now, &self.pace);
+                peer.begin_use(now, &self.intervals);
             }
         }
     }
@@ -275,16 +279,16 @@
     /// many: what it costs doesn't grow with their number.
     pub fn to_be_asked(&mut self, now: Millis) -> Vec<Name> {
         let open = self.all.iter();
-        let open = open.filter(|(_, peer)| peer.takes_tasks(now, &self.pace));
+        let open = open.filter(|(_, peer)| peer.takes_tasks(now, &self.intervals));
         let open: Vec<&Name> = open.map(|(name, _)| name).collect();
-        let first = self.next_want % open.len().max(1);
+        let first = self.next_advertised % open.len().max(1);
         let asked = open
             .iter()
             .cycle()
             .skip(first)
-            .take(WANT_PEERS.min(open.len()));
+            .take(ADVERTISED_PEERS.min(open.len()));
         let asked: Vec<Name> = asked.map(|name| (*name).clone()).collect();
-        self.next_want = first + asked.len();
+        self.next_advertised = first + asked.len();
         asked
     }
 
@@ -293,7 +297,7 @@
         if self.next_seeds > now {
             return Vec::new();
         }
-        self.next_seeds = now + SILENT_BEAT_MS;
+        self.next_seeds = now + SILENT_HEARTBEAT_MS;
         let known: HashSet<SocketAddr> = self.all.values().map(|p| p.info.address).collect();
         let seeds = self.seeds.iter().filter(|seed| !known.contains(seed));
         seeds.copied().collect()
--- a/crates/dispatcher-core/src/queues.rs
+++ b/crates/dispatcher-core/src/queues.rs
@@ -32,7 +32,7 @@
 impl Queue {
     /// Returns the aim of a job whose longest chain takes `work_ms`.
     #[must_use]
-    pub fn aim(&self, work_ms: Millis) -> Millis {
+    pub fn latency_objective(&self, work_ms: Millis) -> Millis {
         let extension = if self.extension > 0.0 {
             self.extension
         } else {
--- a/crates/dispatcher-core/src/settings.rs
+++ b/crates/dispatcher-core/src/settings.rs
@@ -14,15 +14,15 @@
 /// time at which its caller may send the job again.
 const MARGIN_MS: Millis = 120;
 /// The part of the time before a resend that a hold may take.
-const HOLD_SHARE: f64 = 0.5;
+const TARGET_LEASE_SHARE: f64 = 0.5;
 /// Heartbeats within one vouch: one may be lost, and the next one come late.
-const BEATS_PER_VOUCH: Millis = 4;
+const HEARTBEATS_PER_OWNER_LEASE: Millis = 4;
 /// Calls that hold within one hold: some may be late, or lost.
-const HOLDS_IN_ONE: Millis = 3;
+const RENEWALS_PER_TARGET_LEASE: Millis = 3;
 /// Longer waits for an end would spare few calls.
-const LONGEST_HOLD_WAIT_MS: Millis = 150;
+const LONGEST_LONG_POLL_MS: Millis = 150;
 /// The shortest vouch that heartbeats over HTTP can keep up.
-const LEAST_VOUCH_MS: Millis = 100;
+const LEAST_OWNER_LEASE_MS: Millis = 100;
 
 /// Bounds that the deployment sets, in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     /// The earliest time after a broken answer at which a caller sends again.
     pub retransmit_ms: Millis,
     /// The longest hold that a target grants.
-    pub max_hold_ms: Millis,
+    pub max_target_lease_ms: Millis,
     /// The longest that a stop of a run takes.
     pub stop_grace_ms: Millis,
     /// How long a stop in order of the process may take.
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BoundsError {
     /// Callers send again sooner than a lost run can be known to be over.
-    #[error("retransmit-ms {retransmit_ms} leaves {left_ms} ms for a vouch, {LEAST_VOUCH_MS} are needed")]
+    #[error("retransmit-ms {retransmit_ms} leaves {left_ms} ms for a vouch, {LEAST_OWNER_LEASE_MS} are needed")]
     TooTight {
         /// The bound.
         retransmit_ms: Millis,
@@ -57,15 +57,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// By how much a keeper extends a target's hold at most.
-    pub hold: Millis,
+    pub target_lease: Millis,
     /// The hold as it may look on a true clock.
-    pub hold_true: Millis,
+    pub target_lease_true: Millis,
     /// How long an owner's runs go on after its keeper last heard of it.
-    pub vouch: Millis,
+    pub owner_lease: Millis,
     /// How long a target may wait for an end before it answers a hold.
-    pub hold_wait: Millis,
+    pub long_poll: Millis,
     /// From one heartbeat to the next.
-    pub beat: Millis,
+    pub heartbeat: Millis,
     /// From the last acknowledgement until runs there are over for sure.
     pub over: Millis,
 }
@@ -80,22 +80,23 @@
         let spare = self
             .retransmit_ms
             .saturating_sub(self.stop_grace_ms + MARGIN_MS);
-        let hold = ((spare as f64 * HOLD_SHARE) as Millis).min(self.max_hold_ms);
-        let hold_true = on_true_clock(hold);
-        let vouch = spare.saturating_sub(hold_true);
-        if vouch < LEAST_VOUCH_MS {
+        let target_lease =
+            ((spare as f64 * TARGET_LEASE_SHARE) as Millis).min(self.max_target_lease_ms);
+        let target_lease_true = on_true_clock(target_lease);
+        let owner_lease = spare.saturating_sub(target_lease_true);
+        if owner_lease < LEAST_OWNER_LEASE_MS {
             return Err(BoundsError::TooTight {
                 retransmit_ms: self.retransmit_ms,
-                left_ms: vouch,
+                left_ms: owner_lease,
             });
         }
         Ok(Times {
-            hold,
-            hold_true,
-            vouch,
-            hold_wait: (hold / HOLDS_IN_ONE).min(LONGEST_HOLD_WAIT_MS),
-            beat: vouch / BEATS_PER_VOUCH,
-            over: vouch + hold_true + self.stop_grace_ms,
+            target_lease,
+            target_lease_true,
+            owner_lease,
+            long_poll: (target_lease / RENEWALS_PER_TARGET_LEASE).min(LONGEST_LONG_POLL_MS),
+            heartbeat: owner_lease / HEARTBEATS_PER_OWNER_LEASE,
+            over: owner_lease + target_lease_true + self.stop_grace_ms,
         })
     }
 }
@@ -111,11 +112,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// A keeper ends the runs of owners that it no longer hears.
-    pub vouches_lapse: bool,
+    pub owner_leases_expire: bool,
     /// A newcomer waits until nothing runs on a target that it doesn't know.
-    pub newcomers_settle: bool,
+    pub new_holders_settle: bool,
     /// Runs at a lost peer are run again only once they are over.
-    pub lost_runs_are_waited_for: bool,
+    pub lost_attempts_are_waited_for: bool,
     /// A start without reply counts as running until its end is known.
     pub starts_are_doubted: bool,
     /// Targets that leave get no new work.
@@ -123,19 +124,19 @@
     /// A job that may have begun isn't refused as not run.
     pub begun_is_not_refused: bool,
     /// Runs on a target that doesn't answer are over after its hold.
-    pub silent_runs_are_waited_for: bool,
+    pub silent_attempts_are_waited_for: bool,
 }
 
 impl Default for Safeguards {
     fn default() -> Self {
         Self {
-            vouches_lapse: true,
-            newcomers_settle: true,
-            lost_runs_are_waited_for: true,
+            owner_leases_expire: true,
+            new_holders_settle: true,
+            lost_attempts_are_waited_for: true,
             starts_are_doubted: true,
             leaving_is_heeded: true,
             begun_is_not_refused: true,
-            silent_runs_are_waited_for: true,
+            silent_attempts_are_waited_for: true,
         }
     }
 }
@@ -152,7 +153,7 @@
     /// Unique to this life of the process.
     pub incarnation: u64,
     /// The processor time that it has, in thousandths of a core.
-    pub power: u32,
+    pub processor_weight: u32,
     /// Addresses of peers that may be there.
     pub seeds: Vec<SocketAddr>,
     /// The bounds.
--- a/crates/dispatcher-core/src/spec.rs
+++ b/crates/dispatcher-core/src/spec.rs
@@ -13,7 +13,7 @@
 
 /// What one task takes of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu: u32,
     /// Memory in MB.
@@ -22,7 +22,7 @@
     pub gpus: u32,
 }
 
-impl Room {
+impl Resources {
     /// Tells whether `need` fits into this room.
     #[must_use]
     pub fn fits(&self, need: &Self) -> bool {
@@ -46,7 +46,7 @@
     /// How many tasks.
     pub count: u32,
     /// What each takes.
-    pub room: Room,
+    pub resources: Resources,
     /// A rough guess of a task's time.
     pub estimate_ms: Millis,
     /// Steps that must be done first, by number.
@@ -67,7 +67,7 @@
     /// What the tasks are told.
     pub specification: Name,
     /// Whether an accepted job must outlast the hosts.
-    pub kept: bool,
+    pub durable: bool,
     /// The steps.
     pub steps: Vec<StepSpec>,
 }
@@ -136,7 +136,7 @@
                 return Err(JobError::Unsupported(what));
             }
         }
-        if self.kept {
+        if self.durable {
             return Err(JobError::Unsupported("a job that must be kept"));
         }
         Ok(())
--- a/crates/dispatcher-core/src/target/mod.rs
+++ b/crates/dispatcher-core/src/target_state/mod.rs
@@ -7,10 +7,10 @@
 
 use gannetridge_wire::Name;
 
-use crate::event::{CallId, ListedEnd, ListedHow, TargetEntry};
-use crate::message::{End, RunEnd, RunKey, TaskOrder};
+use crate::event::{CallId, ListedEnd, ListedOutcome, TargetEntry};
+use crate::message::{AttemptEnd, AttemptId, AttemptOutcome, TaskOrder};
 use crate::settings::Times;
-use crate::spec::Room;
+use crate::spec::Resources;
 use crate::Millis;
 
 /// A target's clock may run this much slower than ours.
@@ -24,13 +24,13 @@
 /// Calls without reply on end after which a target is taken to be silent.
 const MISSES_TO_SILENCE: u32 = 2;
 /// The weight of the last run in the target's pace.
-const PACE_WEIGHT: f64 = 0.4;
+const SLOWDOWN_WEIGHT: f64 = 0.4;
 /// A run that goes on for this many times its estimate shows a slow target.
 const SLOW_FACTOR: f64 = 1.8;
 /// Estimates of short tasks are off by this much besides.
 const SLOW_MS: f64 = 30.0;
 /// A target of this pace gets one task at a time.
-const CRAWL: f64 = 3.0;
+const ONE_TASK_SLOWDOWN: f64 = 3.0;
 /// A run is taken to stand still after this many times its estimate ...
 const OVERRUN_FACTOR: f64 = 4.0;
 /// ... and this long on top.
@@ -38,15 +38,15 @@
 
 /// How far a host has got with a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum LeaseStage {
     /// Another host looks after it.
-    Elsewhere,
+    NotHeld,
     /// This host's token may not be known there yet.
-    Taking,
+    Acquiring,
     /// This host's token is known there, but runs go on that it doesn't know.
     Settling,
     /// This host looks after it.
-    Kept,
+    Held,
 }
 
 /// How far the end of a run that is not wanted has got.
@@ -64,13 +64,13 @@
 
 /// A run that the keeper has ordered.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Attempt {
     /// The host that owns the job.
     pub owner: Name,
     /// The owner's session under which it was asked for.
     pub session: u64,
     /// What it takes.
-    pub room: Room,
+    pub resources: Resources,
     /// When the start was sent.
     pub started: Millis,
     estimate_ms: Millis,
@@ -97,27 +97,27 @@
     /// What the platform's list says of it.
     pub entry: TargetEntry,
     /// How far this host has got with it.
-    pub stage: Stage,
+    pub stage: LeaseStage,
     /// This host's token.
-    pub fence: u64,
+    pub token: u64,
     /// Since when it has been kept.
-    pub kept_since: Millis,
+    pub held_since: Millis,
     /// Not to be taken before.
-    pub barred_until: Millis,
+    pub backoff_until: Millis,
     /// How often a token was too low since it was to be taken.
     pub tokens_tried: u32,
     /// How often it was lost to another host.
-    pub losses: u32,
+    pub claims_lost: u32,
     /// When it went from the list, if it did.
     pub unlisted_since: Option<Millis>,
     /// The runs.
-    pub runs: BTreeMap<RunKey, Run>,
+    pub attempts: BTreeMap<AttemptId, Attempt>,
     /// Ends up to this number have been taken note of.
-    pub noted: u64,
+    pub acknowledged: u64,
     /// The call that holds, and when it was sent.
-    pub holding: Option<(CallId, Millis)>,
+    pub renewal: Option<(CallId, Millis)>,
     /// The next call that holds isn't sent before.
-    pub next_hold: Millis,
+    pub next_renewal: Millis,
     /// Since when it hasn't answered, if it doesn't.
     pub silent_since: Option<Millis>,
     /// Calls without reply since the last one.
@@ -126,14 +126,14 @@
     /// back.
     pub incumbent_since: Option<Millis>,
     /// Its free room is kept for this host until then.
-    pub offered: Option<(Name, Millis)>,
+    pub reservation: Option<(Name, Millis)>,
     /// By then, on our clock, everything that runs there is over.
-    over_by: Millis,
+    ended_by: Millis,
     clock: Option<ClockReading>,
     failures: u32,
     suspensions: u32,
     suspended_until: Millis,
-    pace: f64,
+    slowdown: f64,
 }
 
 /// The end of a run, and whom to tell.
@@ -144,7 +144,7 @@
     /// The owner's session.
     pub session: u64,
     /// The end.
-    pub end: RunEnd,
+    pub end: AttemptEnd,
     /// What showed it.
     pub by: &'static str,
     /// Since its start was sent.
@@ -159,55 +159,55 @@
     pub fn new(entry: TargetEntry) -> Self {
         Self {
             entry,
-            stage: Stage::Elsewhere,
-            fence: 0,
-            kept_since: 0,
-            barred_until: 0,
+            stage: LeaseStage::NotHeld,
+            token: 0,
+            held_since: 0,
+            backoff_until: 0,
             tokens_tried: 0,
-            losses: 0,
+            claims_lost: 0,
             unlisted_since: None,
-            runs: BTreeMap::new(),
-            noted: 0,
-            holding: None,
-            next_hold: 0,
+            attempts: BTreeMap::new(),
+            acknowledged: 0,
+            renewal: None,
+            next_renewal: 0,
             silent_since: None,
             misses: 0,
             incumbent_since: None,
-            offered: None,
-            over_by: 0,
+            reservation: None,
+            ended_by: 0,
             clock: None,
             failures: 0,
             suspensions: 0,
             suspended_until: 0,
-            pace: 1.0,
+            slowdown: 1.0,
         }
     }
 
     /// Begins to look after it.
-    pub fn take(&mut self, now: Millis, fence: u64) {
-        self.stage = Stage::Taking;
-        self.fence = fence;
-        self.next_hold = now;
+    pub fn take(&mut self, now: Millis, token: u64) {
+        self.stage = LeaseStage::Acquiring;
+        self.token = token;
+        self.next_renewal = now;
         // A call that went out before tells nothing of what came since.
-        self.holding = None;
-        self.offered = None;
+        self.renewal = None;
+        self.reservation = None;
     }
 
     /// Gives it up; what ran there is reported as lost once it is over.
     pub fn leave_to_others(&mut self) {
-        self.stage = Stage::Elsewhere;
-        self.holding = None;
-        self.offered = None;
+        self.stage = LeaseStage::NotHeld;
+        self.renewal = None;
+        self.reservation = None;
         self.clock = None;
         self.silent_since = None;
     }
 
     /// Returns the free room.
     #[must_use]
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         let mut free = self.entry.capacity;
-        for run in self.runs.values() {
-            free = free.less(&run.room);
+        for attempt in self.attempts.values() {
+            free = free.less(&attempt.resources);
         }
         free
     }
@@ -216,20 +216,20 @@
     /// shown; what the list says of it comes on top.
     #[must_use]
     pub fn is_open(&self, now: Millis) -> bool {
-        self.stage == Stage::Kept
+        self.stage == LeaseStage::Held
             && self.silent_since.is_none()
             && self.suspended_until <= now
             && self.clock.is_some()
             // One task shows whether it is well again.
-            && ((self.failures < FAILURES_TO_SUSPEND && self.pace < CRAWL)
-                || self.runs.is_empty())
+            && ((self.failures < FAILURES_TO_SUSPEND && self.slowdown < ONE_TASK_SLOWDOWN)
+                || self.attempts.is_empty())
     }
 
     /// Tells whether the free room is kept for another host than `owner`.
     #[must_use]
-    pub fn is_offered_to_others(&self, now: Millis, owner: &Name) -> bool {
-        let offered = self.offered.as_ref();
-        offered.is_some_and(|(host, until)| host != owner && *until > now)
+    pub fn is_reserved_for_others(&self, now: Millis, owner: &Name) -> bool {
+        let reservation = self.reservation.as_ref();
+        reservation.is_some_and(|(host, until)| host != owner && *until > now)
     }
 
     /// Tells whether an order may run here, now or once there is room.
@@ -247,33 +247,33 @@
     #[must_use]
     pub fn fits(&self, order: &TaskOrder) -> bool {
         let spread = order.spread.as_ref().is_none_or(|(step, most)| {
-            let there = self.runs.values();
-            let there = there.filter(|run| run.spread.as_ref() == Some(step));
+            let there = self.attempts.values();
+            let there = there.filter(|attempt| attempt.spread.as_ref() == Some(step));
             there.count() < *most as usize
         });
-        spread && self.free().fits(&order.room)
+        spread && self.free().fits(&order.resources)
     }
 
     /// Returns how badly an order is placed here: slow targets last, and
     /// among like ones the fullest first, so that large tasks find room.
     #[must_use]
     pub fn cost(&self, now: Millis, order: &TaskOrder) -> f64 {
-        let left = self.free().less(&order.room).cpu;
+        let left = self.free().less(&order.resources).cpu;
         let size = self.entry.capacity.cpu.max(1);
         let far = order
             .rack
             .as_ref()
             .is_some_and(|rack| !self.entry.labels.contains(rack));
-        let pace = self.pace.max(self.slowness(now));
-        let pace = if far { pace * 1.5 } else { pace };
-        pace.max(0.5) + 0.5 * f64::from(left) / f64::from(size) + 0.3 * f64::from(self.failures)
+        let slowdown = self.slowdown.max(self.observed_slowdown(now));
+        let slowdown = if far { slowdown * 1.5 } else { slowdown };
+        slowdown.max(0.5) + 0.5 * f64::from(left) / f64::from(size) + 0.3 * f64::from(self.failures)
     }
 
     /// Returns the pace that runs under way show, 1 while none is overdue.
-    fn slowness(&self, now: Millis) -> f64 {
-        let paces = self.runs.values().map(|run| {
-            let since = now.saturating_sub(run.started) as f64 - SLOW_MS;
-            since / run.estimate_ms.max(1) as f64
+    fn observed_slowdown(&self, now: Millis) -> f64 {
+        let paces = self.attempts.values().map(|attempt| {
+            let since = now.saturating_sub(attempt.started) as f64 - SLOW_MS;
+            since / attempt.estimate_ms.max(1) as f64
         });
         let slowest = paces.fold(1.0, f64::max);
         if slowest < SLOW_FACTOR {
@@ -298,17 +298,17 @@
         let until = self
             .extend(now, times)
             .expect("open targets' clocks are known");
-        self.runs.insert(
+        self.attempts.insert(
             order.key.clone(),
-            Run {
+            Attempt {
                 owner: owner.clone(),
                 session,
-                room: order.room,
+                resources: order.resources,
                 started: now,
                 estimate_ms: order.estimate_ms,
                 spread: order.spread.as_ref().map(|(step, _)| step.clone()),
                 taken: None,
-                begins_before: now + times.hold_true,
+                begins_before: now + times.target_lease_true,
                 stop: StopStage::Wanted,
                 report: true,
             },
@@ -321,8 +321,8 @@
         let reading = self.clock?;
         let since = now.saturating_sub(reading.received);
         let earliest = reading.clock + (since as f64 * SLOWEST_CLOCK) as Millis;
-        self.over_by = self.over_by.max(now + times.over - times.vouch);
-        Some(earliest + times.hold)
+        self.ended_by = self.ended_by.max(now + times.over - times.owner_lease);
+        Some(earliest + times.target_lease)
     }
 
     /// Takes note of what the target's clock showed.
@@ -339,7 +339,7 @@
     /// some misses on end.
     pub fn missed(&mut self, now: Millis) -> bool {
         self.misses += 1;
-        let silent = self.misses >= MISSES_TO_SILENCE || self.stage != Stage::Kept;
+        let silent = self.misses >= MISSES_TO_SILENCE || self.stage != LeaseStage::Held;
         if silent {
             self.silent_since.get_or_insert(now);
         }
--- a/crates/dispatcher-core/src/keeper/due.rs
+++ b/crates/dispatcher-core/src/targets/due.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl Keeper {
+impl TargetLeases {
     /// Does what is due.
     pub fn tick(&mut self, now: Millis) {
         self.ended_early.retain(|_, until| *until > now);
         for target in self.targets.values_mut() {
-            target.offered.take_if(|(_, until)| *until <= now);
+            target.reservation.take_if(|(_, until)| *until <= now);
         }
         self.forget_unlisted(now);
         self.end_what_is_over(now);
@@ -17,9 +17,9 @@
 
     pub(super) fn end_what_is_over(&mut self, now: Millis) {
         for target in self.targets.values_mut() {
-            let waits = self.safeguards.silent_runs_are_waited_for;
+            let waits = self.safeguards.silent_attempts_are_waited_for;
             let over = target.is_over(now) || (!waits && target.silent_since.is_some());
-            if !target.runs.is_empty() && over {
+            if !target.attempts.is_empty() && over {
                 let reports = target.end_all(now, "hold over");
                 self.reports.extend(reports);
             }
@@ -39,53 +39,53 @@
                 }
             }
         }
-        self.note_stops(stopped, "overrun");
+        self.record_stops(stopped, "overrun");
     }
 
     /// Holds targets on and asks for news, where no such call is on its way.
-    pub fn send_holds(&mut self, now: Millis) {
-        let ours = self.ours.iter();
-        let due = ours.filter(|id| {
+    pub fn send_renewals(&mut self, now: Millis) {
+        let leased = self.leased.iter();
+        let due = leased.filter(|id| {
             let target = &self.targets[*id];
-            target.holding.is_none() && is_call_due(target, now)
+            target.renewal.is_none() && is_call_due(target, now)
         });
         let due: Vec<Name> = due.cloned().collect();
         for id in due {
-            self.send_hold(now, &id);
+            self.send_renewal(now, &id);
         }
     }
 
-    pub(super) fn send_hold(&mut self, now: Millis, id: &Name) {
+    pub(super) fn send_renewal(&mut self, now: Millis, id: &Name) {
         let times = self.times;
         let target = self.targets.get_mut(id).expect("the target was found");
         // What a newcomer finds is nobody's: it isn't held on. Nor are runs of
         // its own as long as it doesn't know what others run beside them.
-        let until = if target.stage == Stage::Kept && !target.runs.is_empty() {
+        let until = if target.stage == LeaseStage::Held && !target.attempts.is_empty() {
             target.extend(now, &times)
         } else {
             None
         };
         let quick = target.silent_since.is_some()
-            || target.stage == Stage::Taking
-            || (target.runs.is_empty() && target.stage == Stage::Kept);
+            || target.stage == LeaseStage::Acquiring
+            || (target.attempts.is_empty() && target.stage == LeaseStage::Held);
         let wait_ms = if quick {
             0
         } else if target.is_pressing() {
             PRESSING_WAIT_MS
         } else {
-            times.hold_wait
+            times.long_poll
         };
-        let order = TargetCall::Hold {
+        let order = TargetCall::Renew {
             until,
-            noted: target.noted,
+            acknowledged: target.acknowledged,
             wait_ms,
         };
-        let purpose = Purpose::Hold {
+        let purpose = Purpose::Renew {
             target: id.clone(),
             asked: now,
         };
         let call = self.call(id, purpose, order, wait_ms + REPLY_WAIT_MS);
         let target = self.targets.get_mut(id).expect("the target was found");
-        target.holding = Some((call, now));
+        target.renewal = Some((call, now));
     }
 }
--- a/crates/dispatcher-core/src/keeper/listing.rs
+++ b/crates/dispatcher-core/src/targets/listing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Keeper {
+impl TargetLeases {
     /// Tells whether a target that isn't listed is gone.
     pub(super) fn list_settled(&self, now: Millis) -> bool {
         let back = self.store_back.unwrap_or(0);
@@ -37,7 +37,7 @@
         match self.targets.get_mut(&id) {
             Some(target) => {
                 if entry.leaving && !target.entry.leaving {
-                    self.note_target(&id, "leaving", "list");
+                    self.record_target(&id, "leaving", "list");
                 }
                 let target = self.targets.get_mut(&id).expect("just found");
                 target.entry = entry;
@@ -45,7 +45,7 @@
             }
             None => {
                 self.targets.insert(id, Target::new(entry));
-                self.unshared = true;
+                self.assignment_stale = true;
             }
         }
     }
@@ -54,7 +54,7 @@
         if let Some(target) = self.targets.get_mut(id) {
             if target.unlisted_since.is_none() {
                 target.unlisted_since = Some(now);
-                self.note_target(id, "not listed", "list");
+                self.record_target(id, "not listed", "list");
             }
         }
     }
@@ -73,15 +73,15 @@
         let settled = self.list_settled(now);
         let gone = self.targets.iter().filter(|(_, target)| {
             let missing = target.unlisted_since.is_some();
-            let empty = target.runs.is_empty() && target.holding.is_none();
+            let empty = target.attempts.is_empty() && target.renewal.is_none();
             missing && settled && empty
         });
         let gone: Vec<Name> = gone.map(|(id, _)| id.clone()).collect();
         for id in gone {
             self.targets.remove(&id);
-            self.ours.remove(&id);
-            self.surplus.remove(&id);
-            self.note_target(&id, "gone", "list");
+            self.leased.remove(&id);
+            self.misassigned.remove(&id);
+            self.record_target(&id, "gone", "list");
         }
     }
 }
--- a/crates/dispatcher-core/src/keeper/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -10,13 +10,13 @@
 
 use gannetridge_wire::Name;
 
-use crate::action::{Action, RunOrder, TargetCall};
+use crate::action::{Action, StartOrder, TargetCall};
+use crate::decision::Decision;
 use crate::event::{CallId, SendFailure, TargetChange, TargetEntry, TargetReply};
-use crate::message::{End, FreeRoom, HostInfo, RunKey, TaskOrder, Want};
-use crate::note::Note;
+use crate::message::{AttemptId, AttemptOutcome, Demand, FreeResources, HostInfo, TaskOrder};
 use crate::settings::{Safeguards, Settings, Times};
-use crate::spec::Room;
-use crate::target::{Report, Stage, Target};
+use crate::spec::Resources;
+use crate::target_state::{LeaseStage, Report, Target};
 use crate::{assignment, Millis};
 
 /// How long a target may wait for an end before it answers a hold, where an end is awaited that other news may show.
@@ -33,11 +33,11 @@
 /// A keeper of this long takes a target back when another host took it.
 const SETTLED_MS: Millis = 3_000;
 /// How long a target is left to the host that took it; doubles each time.
-const BARRED_MS: Millis = 2_000;
+const BACKOFF_MS: Millis = 2_000;
 /// The longest that a target is left to another host.
-const LONGEST_BARRED_MS: Millis = 16_000;
+const LONGEST_BACKOFF_MS: Millis = 16_000;
 /// Losses of a target are forgotten when it was kept for this long.
-const FORGIVEN_MS: Millis = 10_000;
+const BACKOFF_RESET_MS: Millis = 10_000;
 /// How often a higher token is tried at once where one was too low.
 const TOKENS_TRIED: u32 = 4;
 /// By how much a token that was too low is raised at first; doubles.
@@ -50,12 +50,12 @@
 /// empty before it starts nothing more there.
 const RELEASE_PATIENCE_MS: Millis = 1_000;
 /// How long an offer's room is kept free at most.
-const OFFER_MS: Millis = 30;
+const RESERVATION_MS: Millis = 30;
 /// How long a run that was ended before it came is remembered.
 const REMEMBER_MS: Millis = 3_000;
 
 /// Tokens rise with the time in steps of this.
-const FENCE_UNIT_MS: u64 = 4;
+const TOKEN_UNIT_MS: u64 = 4;
 /// The part of a token that tells hosts apart; tokens stay below 2^53.
 const UNIQUE: u64 = 1 << 13;
 
@@ -63,20 +63,20 @@
 #[derive(Clone, Debug)]
 struct Sent {
     /// The token that it carries.
-    fence: u64,
+    token: u64,
     purpose: Purpose,
 }
 
 /// What a call to a target was for.
 #[derive(Clone, Debug)]
 enum Purpose {
-    Hold { target: Name, asked: Millis },
-    Start { target: Name, key: RunKey },
-    Stop { target: Name, key: RunKey },
+    Renew { target: Name, asked: Millis },
+    Start { target: Name, key: AttemptId },
+    Stop { target: Name, key: AttemptId },
 }
 
 /// Looks after targets.
-pub struct Keeper {
+pub struct TargetLeases {
     name: Name,
     times: Times,
     safeguards: Safeguards,
@@ -84,21 +84,21 @@
     unique: u64,
     targets: BTreeMap<Name, Target>,
     /// The targets that this host looks after or is taking.
-    ours: BTreeSet<Name>,
+    leased: BTreeSet<Name>,
     /// The targets that this host should look after, the hosts that they
     /// were shared with, and whether targets have come since.
-    shares: HashSet<Name>,
-    shared_with: Vec<HostInfo>,
-    unshared: bool,
+    assigned: HashSet<Name>,
+    assigned_among: Vec<HostInfo>,
+    assignment_stale: bool,
     /// The tasks in the books of any target.
     tasks: HashSet<Name>,
     calls: HashMap<CallId, Sent>,
     /// Targets that another host should have, and since when.
-    surplus: HashMap<Name, Millis>,
-    last_fence: u64,
+    misassigned: HashMap<Name, Millis>,
+    last_token: u64,
     last_call: u64,
     /// Runs that were ended before they came, and until when that is known.
-    ended_early: HashMap<RunKey, Millis>,
+    ended_early: HashMap<AttemptId, Millis>,
     store_back: Option<Millis>,
     store_reachable: bool,
     reports: Vec<Report>,
@@ -106,7 +106,7 @@
     pub out: Vec<Action>,
 }
 
-impl Keeper {
+impl TargetLeases {
     /// Creates a keeper without targets.
     #[must_use]
     pub fn new(settings: &Settings, times: Times) -> Self {
@@ -117,14 +117,14 @@
             epoch_ms: settings.epoch_ms,
             unique: xxhash_rust::xxh3::xxh3_64(settings.name.as_bytes()) % UNIQUE,
             targets: BTreeMap::new(),
-            ours: BTreeSet::new(),
-            shares: HashSet::new(),
-            shared_with: Vec::new(),
-            unshared: true,
+            leased: BTreeSet::new(),
+            assigned: HashSet::new(),
+            assigned_among: Vec::new(),
+            assignment_stale: true,
             tasks: HashSet::new(),
             calls: HashMap::new(),
-            surplus: HashMap::new(),
-            last_fence: 0,
+            misassigned: HashMap::new(),
+            last_token: 0,
             last_call: 0,
             ended_early: HashMap::new(),
             store_back: None,
@@ -145,51 +145,54 @@
     /// Returns how many targets are known and how many are kept.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
-        (self.targets.len(), self.ours.len())
+        (self.targets.len(), self.leased.len())
     }
 
     /// Returns the targets that this host looks after or is taking.
     #[must_use]
-    pub fn kept(&self) -> Vec<Name> {
-        self.ours.iter().cloned().collect()
+    pub fn leased(&self) -> Vec<Name> {
+        self.leased.iter().cloned().collect()
     }
 
     /// Returns how many runs are in the books.
     #[must_use]
-    pub fn runs(&self) -> usize {
-        self.targets.values().map(|target| target.runs.len()).sum()
+    pub fn attempts(&self) -> usize {
+        self.targets
+            .values()
+            .map(|target| target.attempts.len())
+            .sum()
     }
 
     /// Returns the free room, a row for each open target with some.
     #[must_use]
-    pub fn free(&self, now: Millis) -> Vec<FreeRoom> {
-        let open = self.our_targets();
+    pub fn free(&self, now: Millis) -> Vec<FreeResources> {
+        let open = self.leased_targets();
         let open = open.filter(|target| self.is_usable(now, target));
-        let open = open.filter(|target| target.offered.is_none());
-        let rooms = open.map(|target| FreeRoom {
+        let open = open.filter(|target| target.reservation.is_none());
+        let resources = open.map(|target| FreeResources {
             pool: target.entry.pool.clone(),
-            room: target.free(),
+            resources: target.free(),
         });
-        rooms.filter(|free| free.room.cpu > 0).collect()
+        resources.filter(|free| free.resources.cpu > 0).collect()
     }
 
     /// Tells whether there is such room on any target of this host.
     #[must_use]
-    pub fn may_fit(&self, now: Millis, room: &Room) -> bool {
-        let mut open = self.our_targets();
-        open.any(|target| target.free().fits(room) && self.is_usable(now, target))
+    pub fn may_fit(&self, now: Millis, resources: &Resources) -> bool {
+        let mut open = self.leased_targets();
+        open.any(|target| target.free().fits(resources) && self.is_usable(now, target))
     }
 
     /// Tells whether any known target could ever run the order.
     #[must_use]
     pub fn could_run(&self, order: &TaskOrder) -> bool {
         let mut targets = self.targets.values();
-        targets.any(|t| t.suits(order) && t.entry.capacity.fits(&order.room))
+        targets.any(|t| t.suits(order) && t.entry.capacity.fits(&order.resources))
     }
 
     /// Returns the targets that this host looks after or is taking.
-    fn our_targets(&self) -> impl Iterator<Item = &Target> {
-        self.ours.iter().map(|id| &self.targets[id])
+    fn leased_targets(&self) -> impl Iterator<Item = &Target> {
+        self.leased.iter().map(|id| &self.targets[id])
     }
 
     fn is_usable(&self, now: Millis, target: &Target) -> bool {
@@ -199,12 +202,12 @@
     }
 
     fn is_draining(&self, now: Millis, target: &Target) -> bool {
-        let since = self.surplus.get(&target.entry.id);
+        let since = self.misassigned.get(&target.entry.id);
         since.is_some_and(|since| since + RELEASE_PATIENCE_MS <= now)
     }
 
-    fn note_target(&mut self, target: &Name, state: &'static str, by: &'static str) {
-        self.out.push(Action::Note(Note::Target {
+    fn record_target(&mut self, target: &Name, state: &'static str, by: &'static str) {
+        self.out.push(Action::Record(Decision::Target {
             target: target.clone(),
             state,
             by,
@@ -217,7 +220,7 @@
 /// A busy target is called as soon as nothing stands against it; only one
 /// that doesn't answer, or is idle, has a time to wait for.
 fn is_call_due(target: &Target, now: Millis) -> bool {
-    let busy = !target.runs.is_empty() || target.is_pressing();
-    let due = target.next_hold <= now;
-    due || (busy && target.silent_since.is_none() && target.stage != Stage::Taking)
+    let busy = !target.attempts.is_empty() || target.is_pressing();
+    let due = target.next_renewal <= now;
+    due || (busy && target.silent_since.is_none() && target.stage != LeaseStage::Acquiring)
 }
--- a/crates/dispatcher-core/src/keeper/placing.rs
+++ b/crates/dispatcher-core/src/targets/placing.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-impl Keeper {
+impl TargetLeases {
     /// Starts a task if there is room for it.
     pub fn place(&mut self, now: Millis, owner: &Name, session: u64, order: &TaskOrder) -> bool {
         let there = self.tasks.contains(&order.key.task);
         if there || self.ended_early.contains_key(&order.key) {
             return false;
         }
-        let open = self.our_targets();
+        let open = self.leased_targets();
         let open = open.filter(|target| self.is_usable(now, target));
-        let open = open.filter(|target| !target.is_offered_to_others(now, owner));
+        let open = open.filter(|target| !target.is_reserved_for_others(now, owner));
         let fitting = open.filter(|target| target.suits(order) && target.fits(order));
         let best = fitting.min_by(|a, b| a.cost(now, order).total_cmp(&b.cost(now, order)));
         let Some(id) = best.map(|target| target.entry.id.clone()) else {
@@ -32,7 +32,7 @@
         let target = self.targets.get_mut(id).expect("the target was found");
         let until = target.admit(now, &self.times, owner, session, order);
         self.tasks.insert(order.key.task.clone());
-        self.out.push(Action::Note(Note::Started {
+        self.out.push(Action::Record(Decision::Started {
             key: order.key.clone(),
             target: id.clone(),
             owner: owner.clone(),
@@ -42,7 +42,7 @@
             target: id.clone(),
             key: order.key.clone(),
         };
-        let start = TargetCall::Start(RunOrder {
+        let start = TargetCall::Start(StartOrder {
             key: order.key.clone(),
             specification: order.specification.clone(),
             until,
@@ -60,16 +60,16 @@
         self.last_call += 1;
         let call = CallId(self.last_call);
         let target = &self.targets[id];
-        let fence = target.fence;
+        let token = target.token;
         self.out.push(Action::Target {
             call,
             id: id.clone(),
             address: target.entry.address.clone(),
-            fence,
+            token,
             order,
             wait_ms,
         });
-        self.calls.insert(call, Sent { fence, purpose });
+        self.calls.insert(call, Sent { token, purpose });
         call
     }
 
@@ -80,17 +80,17 @@
         &mut self,
         now: Millis,
         owner: &Name,
-        keys: &[RunKey],
+        keys: &[AttemptId],
         report: bool,
         reason: &'static str,
-    ) -> Vec<RunKey> {
+    ) -> Vec<AttemptId> {
         let mut missing = Vec::new();
         let mut stopped = Vec::new();
         for key in keys {
             let mut targets = self.targets.iter_mut();
             let found = targets.find(|(_, target)| {
-                let run = target.runs.get(key);
-                run.is_some_and(|run| run.owner == *owner)
+                let attempt = target.attempts.get(key);
+                attempt.is_some_and(|attempt| attempt.owner == *owner)
             });
             match found {
                 Some((id, target)) => {
@@ -104,7 +104,7 @@
                 }
             }
         }
-        self.note_stops(stopped, reason);
+        self.record_stops(stopped, reason);
         self.send_stops(now);
         missing
     }
@@ -113,22 +113,23 @@
     pub fn stop_owner(&mut self, now: Millis, owner: &Name, session: u64, reason: &'static str) {
         let mut stopped = Vec::new();
         for (id, target) in &mut self.targets {
-            let runs = target.runs.iter();
-            let theirs = runs.filter(|(_, run)| run.owner == *owner && run.session < session);
-            let keys: Vec<RunKey> = theirs.map(|(key, _)| key.clone()).collect();
+            let attempts = target.attempts.iter();
+            let theirs = attempts
+                .filter(|(_, attempt)| attempt.owner == *owner && attempt.session < session);
+            let keys: Vec<AttemptId> = theirs.map(|(key, _)| key.clone()).collect();
             for key in keys {
                 if target.stop(&key, false) {
                     stopped.push((id.clone(), key));
                 }
             }
         }
-        self.note_stops(stopped, reason);
+        self.record_stops(stopped, reason);
         self.send_stops(now);
     }
 
-    pub(super) fn note_stops(&mut self, stopped: Vec<(Name, RunKey)>, reason: &'static str) {
+    pub(super) fn record_stops(&mut self, stopped: Vec<(Name, AttemptId)>, reason: &'static str) {
         for (target, key) in stopped {
-            self.out.push(Action::Note(Note::Stopping {
+            self.out.push(Action::Record(Decision::Stopping {
                 key,
                 target,
                 reason,
@@ -142,7 +143,7 @@
             let keys = target.stops_to_send();
             // A target that doesn't answer is asked by its hold alone.
             let hopeless = target.silent_since.is_some_and(|at| at + RETRY_MS < now);
-            if target.stage != Stage::Elsewhere && !hopeless {
+            if target.stage != LeaseStage::NotHeld && !hopeless {
                 stops.extend(keys.into_iter().map(|key| (id.clone(), key)));
             }
         }
@@ -160,27 +161,31 @@
     }
 
     /// Offers room to a host that wants it; the room is kept free meanwhile.
-    pub fn offer(&mut self, now: Millis, host: &Name, want: &Want) -> Option<FreeRoom> {
-        let open = self.our_targets();
+    pub fn reserve(&mut self, now: Millis, host: &Name, demand: &Demand) -> Option<FreeResources> {
+        let open = self.leased_targets();
         let open = open.filter(|target| self.is_usable(now, target));
-        let open = open.filter(|target| target.offered.is_none());
-        let fitting = open.filter(|t| t.entry.pool == want.pool && t.free().fits(&want.least));
+        let open = open.filter(|target| target.reservation.is_none());
+        let fitting = open.filter(|t| t.entry.pool == demand.pool && t.free().fits(&demand.least));
         let best = fitting.max_by_key(|target| target.free().cpu)?;
         let id = best.entry.id.clone();
-        let free = FreeRoom {
+        let free = FreeResources {
             pool: best.entry.pool.clone(),
-            room: best.free(),
+            resources: best.free(),
         };
         let target = self.targets.get_mut(&id).expect("the target was found");
-        target.offered = Some((host.clone(), now + OFFER_MS));
+        target.reservation = Some((host.clone(), now + RESERVATION_MS));
         Some(free)
     }
 
     /// Ends what is kept free for a host.
-    pub fn end_offers(&mut self, host: &Name) {
+    pub fn end_reservations(&mut self, host: &Name) {
         for target in self.targets.values_mut() {
-            if target.offered.as_ref().is_some_and(|(to, _)| to == host) {
-                target.offered = None;
+            if target
+                .reservation
+                .as_ref()
+                .is_some_and(|(to, _)| to == host)
+            {
+                target.reservation = None;
             }
         }
     }
--- a/crates/dispatcher-core/src/keeper/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -2,22 +2,24 @@
 
 use super::*;
 
-impl Keeper {
+impl TargetLeases {
     /// Takes a target's reply in, or that there is none.
     pub fn replied(&mut self, now: Millis, call: CallId, reply: Result<TargetReply, SendFailure>) {
-        let Some(Sent { fence, purpose }) = self.calls.remove(&call) else {
+        let Some(Sent { token, purpose }) = self.calls.remove(&call) else {
             return;
         };
         match purpose {
-            Purpose::Hold { target, asked } => self.held(now, call, &target, asked, reply),
-            Purpose::Start { target, key } => self.started(now, fence, &target, &key, reply),
+            Purpose::Renew { target, asked } => {
+                self.renewal_replied(now, call, &target, asked, reply)
+            }
+            Purpose::Start { target, key } => self.started(now, token, &target, &key, reply),
             Purpose::Stop { target, key } => {
-                self.stopped(now, call, fence, &target, &key, reply);
+                self.stopped(now, call, token, &target, &key, reply);
             }
         }
     }
 
-    pub(super) fn held(
+    pub(super) fn renewal_replied(
         &mut self,
         now: Millis,
         call: CallId,
@@ -28,10 +30,10 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        if target.holding.is_none_or(|(current, _)| current != call) {
+        if target.renewal.is_none_or(|(current, _)| current != call) {
             return;
         }
-        target.holding = None;
+        target.renewal = None;
         let was_silent = target.silent_since.is_some();
         let stage = target.stage;
         match reply {
@@ -41,25 +43,27 @@
                 ended,
             }) => {
                 target.read_clock(now, clock);
-                let settles = self.safeguards.newcomers_settle;
+                let settles = self.safeguards.new_holders_settle;
                 let reports = target.list(now, asked, &running, &ended, settles);
                 let pressing = target.is_pressing();
-                let idle = target.runs.is_empty() && !pressing;
-                target.next_hold = now + if idle { IDLE_LOOK_MS } else { 0 };
-                let kept = target.stage == Stage::Kept;
+                let idle = target.attempts.is_empty() && !pressing;
+                target.next_renewal = now + if idle { IDLE_LOOK_MS } else { 0 };
+                let leased = target.stage == LeaseStage::Held;
                 if was_silent {
-                    self.note_target(id, "answers", "hold");
+                    self.record_target(id, "answers", "hold");
                 }
-                if kept && stage != Stage::Kept {
-                    self.note_target(id, "kept", "hold");
+                if leased && stage != LeaseStage::Held {
+                    self.record_target(id, "kept", "hold");
                 }
                 self.reports.extend(reports);
             }
-            Ok(TargetReply::Fenced { .. }) => self.fenced(now, id, self.targets[id].fence),
-            Ok(TargetReply::OtherLife) => self.life_over(now, id),
+            Ok(TargetReply::StaleToken { .. }) => {
+                self.token_superseded(now, id, self.targets[id].token)
+            }
+            Ok(TargetReply::WrongIncarnation) => self.incarnation_over(now, id),
             Ok(_) => {
                 // It answers, if not to the point: a look later shows more.
-                target.next_hold = now + RETRY_MS;
+                target.next_renewal = now + RETRY_MS;
             }
             Err(_) => self.missed(now, id, "hold"),
         }
@@ -71,73 +75,73 @@
         };
         if !target.missed(now) {
             // One lost answer is not silence.
-            target.next_hold = now;
+            target.next_renewal = now;
             return;
         }
         let first = target.silent_since == Some(now);
-        let retry = if target.stage == Stage::Taking {
+        let retry = if target.stage == LeaseStage::Acquiring {
             TAKE_RETRY_MS
         } else {
             RETRY_MS
         };
-        target.next_hold = now + retry;
+        target.next_renewal = now + retry;
         if first {
-            self.note_target(id, "silent", by);
+            self.record_target(id, "silent", by);
         }
     }
 
     pub(super) fn started(
         &mut self,
         now: Millis,
-        fence: u64,
+        token: u64,
         id: &Name,
-        key: &RunKey,
+        key: &AttemptId,
         reply: Result<TargetReply, SendFailure>,
     ) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
         let report = match reply {
-            Ok(TargetReply::Done { clock } | TargetReply::Listing { clock, .. }) => {
+            Ok(TargetReply::Accepted { clock } | TargetReply::Listing { clock, .. }) => {
                 target.read_clock(now, clock);
                 target.start_taken(now, key);
                 None
             }
-            Ok(TargetReply::Late { clock }) => {
+            Ok(TargetReply::StartDeadlinePassed { clock }) => {
                 target.read_clock(now, clock);
-                target.end(now, key, End::Lost, "late")
+                target.end(now, key, AttemptOutcome::Lost, "late")
             }
-            Ok(TargetReply::Full { clock }) => {
+            Ok(TargetReply::InsufficientResources { clock }) => {
                 target.read_clock(now, clock);
-                target.next_hold = now;
+                target.next_renewal = now;
                 target.failed(now);
-                target.end(now, key, End::Lost, "full")
+                target.end(now, key, AttemptOutcome::Lost, "full")
             }
-            Ok(TargetReply::Outnumbered { .. }) => {
-                target.end(now, key, End::Outnumbered, "outnumbered")
+            Ok(TargetReply::StaleAttempt { .. }) => {
+                target.end(now, key, AttemptOutcome::StaleAttempt, "outnumbered")
             }
             Ok(TargetReply::Refused { .. }) => {
                 target.suspend(now);
-                target.end(now, key, End::Lost, "refused")
+                target.end(now, key, AttemptOutcome::Lost, "refused")
             }
-            Ok(TargetReply::Fenced { .. }) => {
-                let report = target.end(now, key, End::Lost, "fenced");
+            Ok(TargetReply::StaleToken { .. }) => {
+                let report = target.end(now, key, AttemptOutcome::Lost, "fenced");
                 self.reports.extend(report);
-                self.fenced(now, id, fence);
+                self.token_superseded(now, id, token);
                 return;
             }
-            Ok(TargetReply::OtherLife) => {
-                self.life_over(now, id);
+            Ok(TargetReply::WrongIncarnation) => {
+                self.incarnation_over(now, id);
                 return;
             }
             Err(SendFailure::Refused | SendFailure::NotSent) => {
-                let report = target.end(now, key, End::Lost, "not sent");
+                let report = target.end(now, key, AttemptOutcome::Lost, "not sent");
                 self.reports.extend(report);
                 self.missed(now, id, "start");
                 return;
             }
             Err(SendFailure::Unknown) if !self.safeguards.starts_are_doubted => {
-                target.end(now, key, End::Lost, "no reply")
+                target.end(now, key, AttemptOutcome::Lost, "no reply")
             }
             Err(SendFailure::Unknown) => {
                 target.doubt(key);
@@ -153,25 +157,25 @@
         &mut self,
         now: Millis,
         call: CallId,
-        fence: u64,
+        token: u64,
         id: &Name,
-        key: &RunKey,
+        key: &AttemptId,
         reply: Result<TargetReply, SendFailure>,
     ) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
         match reply {
-            Ok(TargetReply::Done { clock } | TargetReply::Listing { clock, .. }) => {
+            Ok(TargetReply::Accepted { clock } | TargetReply::Listing { clock, .. }) => {
                 target.read_clock(now, clock);
                 target.stop_replied(now, key, call, true);
-                target.next_hold = target.next_hold.min(now);
+                target.next_renewal = target.next_renewal.min(now);
             }
-            Ok(TargetReply::Fenced { .. }) => {
+            Ok(TargetReply::StaleToken { .. }) => {
                 target.stop_replied(now, key, call, false);
-                self.fenced(now, id, fence);
+                self.token_superseded(now, id, token);
             }
-            Ok(TargetReply::OtherLife) => self.life_over(now, id),
+            Ok(TargetReply::WrongIncarnation) => self.incarnation_over(now, id),
             Ok(_) => target.stop_replied(now, key, call, false),
             Err(_) => {
                 target.stop_replied(now, key, call, false);
--- a/crates/dispatcher-core/tests/answers.rs
+++ b/crates/dispatcher-core/tests/answers.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use gannetridge_dispatcher_core::event::{ListedHow, SendFailure};
+use gannetridge_dispatcher_core::event::{ListedOutcome, SendFailure};
 use gannetridge_dispatcher_core::message::Request;
 use gannetridge_dispatcher_core::{Answer, Event, TargetReply};
 use support::{case, ended, peer_info, step, target, Rig};
@@ -10,7 +10,7 @@
 const ID: &str = "5c0e7a21d94b36f8";
 
 case!(a_job_whose_tasks_are_done_is_completed, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(2, 7_000, 60)], 3_000);
     let starts = rig.starts();
     assert_eq!(starts.len(), 2);
@@ -18,15 +18,15 @@
     let ends: Vec<_> = starts
         .iter()
         .enumerate()
-        .map(|(n, (_, _, key))| ended(n as u64 + 1, key, ListedHow::Done))
+        .map(|(n, (_, _, key))| ended(n as u64 + 1, key, ListedOutcome::Done))
         .collect();
-    let holds = rig.holds();
-    rig.listing(holds[0].0, &[], &ends);
+    let renewals = rig.renewals();
+    rig.listing(renewals[0].0, &[], &ends);
     assert_eq!(rig.answer_to(1), Some(&Answer::Completed));
 });
 
 case!(a_job_that_ran_out_of_time_is_unfinished_not_failed, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 2_000);
     assert_eq!(rig.starts().len(), 1);
     // The target says nothing any more: its hold ends, no other is there.
@@ -35,14 +35,14 @@
 });
 
 case!(a_task_that_fails_as_often_as_allowed_fails_the_job, {
-    let mut rig = Rig::keeping(&[target("one", 16), target("two", 16)]);
+    let mut rig = Rig::holding_targets(&[target("one", 16), target("two", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
     for number in 1..=2 {
         let (_, _, key) = rig.starts().remove(0);
-        assert_eq!(key.run, number as u32);
+        assert_eq!(key.attempt, number as u32);
         rig.pass(10);
-        for (call, _) in rig.holds() {
-            rig.listing(call, &[], &[ended(number, &key, ListedHow::Failed)]);
+        for (call, _) in rig.renewals() {
+            rig.listing(call, &[], &[ended(number, &key, ListedOutcome::Failed)]);
         }
     }
     assert_eq!(rig.answer_to(1), Some(&Answer::Failed));
@@ -53,7 +53,7 @@
     rig.event(Event::TargetsRead(vec![target("far", 16)]));
     rig.event(Event::HostsRead(vec![peer_info()]));
     rig.pass(50);
-    rig.answer_beats(16_000);
+    rig.answer_heartbeats(16_000);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 2_000);
     let asked = rig.requests(|request| matches!(request, Request::Place(_)));
     assert_eq!(asked.len(), 1);
@@ -63,7 +63,7 @@
     });
     for _ in 0..250 {
         rig.pass(10);
-        rig.answer_beats(0);
+        rig.answer_heartbeats(0);
     }
     let answer = rig.answer_to(1).expect("the job has its final answer");
     assert!(!matches!(answer, Answer::Refused { .. }), "{answer:?}");
@@ -72,13 +72,13 @@
 case!(
     a_job_that_finds_no_room_is_refused_with_when_to_come_back,
     {
-        let mut rig = Rig::keeping(&[target("near", 16)]);
+        let mut rig = Rig::holding_targets(&[target("near", 16)]);
         rig.submit(1, ID, vec![step(2, 8_000, 3_000)], 9_000);
         let running: Vec<_> = rig.starts().into_iter().map(|(_, _, key)| key).collect();
         rig.submit(2, "00000000000000aa", vec![step(1, 8_000, 60)], 2_000);
         for _ in 0..95 {
             rig.pass(10);
-            for (call, _) in rig.holds() {
+            for (call, _) in rig.renewals() {
                 rig.listing(call, &running, &[]);
             }
         }
@@ -88,51 +88,51 @@
 );
 
 case!(a_job_that_no_target_could_run_is_refused_at_once, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 30_000, 60)], 3_000);
     assert!(matches!(rig.answer_to(1), Some(Answer::Refused { .. })));
 });
 
 case!(a_caller_that_leaves_has_its_runs_ended, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(2, 7_000, 600)], 3_000);
     let starts = rig.starts();
     for (call, _, _) in &starts {
         let clock = rig.now + 500_000;
         rig.target_reply(
             *call,
-            gannetridge_dispatcher_core::TargetReply::Done { clock },
+            gannetridge_dispatcher_core::TargetReply::Accepted { clock },
         );
     }
     rig.event(Event::CallerGone {
-        token: gannetridge_dispatcher_core::Token(1),
+        request_id: gannetridge_dispatcher_core::RequestId(1),
     });
     assert_eq!(rig.stops().len(), 2);
     assert!(rig.answers.is_empty());
 });
 
 case!(a_job_that_comes_again_is_one_job, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
     rig.submit(2, ID, vec![step(1, 7_000, 60)], 3_000);
     let starts = rig.starts();
     assert_eq!(starts.len(), 1);
     rig.pass(10);
-    let (call, _) = rig.holds().remove(0);
-    rig.listing(call, &[], &[ended(1, &starts[0].2, ListedHow::Done)]);
+    let (call, _) = rig.renewals().remove(0);
+    rig.listing(call, &[], &[ended(1, &starts[0].2, ListedOutcome::Done)]);
     rig.submit(3, ID, vec![step(1, 7_000, 60)], 3_000);
     assert!(rig.starts().is_empty());
-    for token in 1..=3 {
-        assert_eq!(rig.answer_to(token), Some(&Answer::Completed));
+    for request_id in 1..=3 {
+        assert_eq!(rig.answer_to(request_id), Some(&Answer::Completed));
     }
 });
 
 case!(a_job_that_comes_again_unfinished_has_runs_of_its_own, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 2_000);
     let first = rig.starts().remove(0).2;
     rig.event(Event::CallerGone {
-        token: gannetridge_dispatcher_core::Token(1),
+        request_id: gannetridge_dispatcher_core::RequestId(1),
     });
     rig.pass(1_300);
     rig.submit(2, ID, vec![step(1, 7_000, 900)], 2_000);
@@ -140,19 +140,19 @@
         gannetridge_dispatcher_core::event::TargetChange::There(target("other", 16)),
     ]));
     rig.pass(50);
-    for (call, _) in rig.holds() {
+    for (call, _) in rig.renewals() {
         rig.listing(call, &[], &[]);
     }
     let starts = rig.starts();
     assert!(!starts.is_empty());
     assert!(
-        starts.iter().all(|(_, _, key)| key.run > first.run),
+        starts.iter().all(|(_, _, key)| key.attempt > first.attempt),
         "{starts:?}"
     );
 });
 
 case!(of_two_queues_the_more_urgent_ones_tasks_go_first, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let mut queues = support::queues(2);
     let mut calm = queues.queues[0].clone();
     calm.name = "calm".into();
@@ -164,7 +164,7 @@
     let (call, _, first) = rig.starts().remove(0);
     rig.target_reply(
         call,
-        TargetReply::Done {
+        TargetReply::Accepted {
             clock: rig.now + 500_000,
         },
     );
@@ -178,8 +178,12 @@
     );
     rig.submit(3, "00000000000000bb", vec![step(1, 16_000, 200)], 3_000);
     rig.pass(10);
-    let (hold, _) = rig.holds().remove(0);
-    rig.listing(hold, &[], &[support::ended(1, &first, ListedHow::Done)]);
+    let (target_lease, _) = rig.renewals().remove(0);
+    rig.listing(
+        target_lease,
+        &[],
+        &[support::ended(1, &first, ListedOutcome::Done)],
+    );
     let starts = rig.starts();
     assert_eq!(starts.len(), 1);
     assert!(
--- a/crates/dispatcher-core/tests/assignment.rs
+++ b/crates/dispatcher-core/tests/assignment.rs
@@ -2,17 +2,17 @@
 
 use std::collections::HashMap;
 
-use gannetridge_dispatcher_core::assignment::keeper;
+use gannetridge_dispatcher_core::assignment::targets;
 use gannetridge_dispatcher_core::message::HostInfo;
 
 fn hosts(powers: &[u32]) -> Vec<HostInfo> {
     let hosts = powers.iter().enumerate();
-    let hosts = hosts.map(|(index, power)| HostInfo {
+    let hosts = hosts.map(|(index, processor_weight)| HostInfo {
         name: format!("host-{index}").into(),
         address: ([127, 0, 0, 1], index as u16 + 1).into(),
         hall: "north".into(),
         incarnation: 1,
-        power: *power,
+        processor_weight: *processor_weight,
     });
     hosts.collect()
 }
@@ -20,7 +20,7 @@
 fn share(hosts: &[HostInfo]) -> HashMap<String, usize> {
     let mut share = HashMap::new();
     for target in 0..2_000 {
-        let host = keeper(&format!("target-{target}"), "north", hosts).expect("there are hosts");
+        let host = targets(&format!("target-{target}"), "north", hosts).expect("there are hosts");
         *share.entry(host.name.to_string()).or_default() += 1;
     }
     share
@@ -38,8 +38,8 @@
     let all = hosts(&[100, 250, 400, 100]);
     for target in 0..500 {
         let target = format!("target-{target}");
-        let before = keeper(&target, "north", &all).expect("there are hosts");
-        let after = keeper(&target, "north", &all[..3]).expect("there are hosts");
+        let before = targets(&target, "north", &all).expect("there are hosts");
+        let after = targets(&target, "north", &all[..3]).expect("there are hosts");
         assert!(before.name == all[3].name || before == after);
     }
 }
@@ -47,6 +47,6 @@
 #[test]
 fn a_hall_without_hosts_is_looked_after_by_others() {
     let all = hosts(&[0, 100]);
-    assert!(keeper("target", "south", &all).is_some());
-    assert!(keeper("target", "north", &[]).is_none());
+    assert!(targets("target", "south", &all).is_some());
+    assert!(targets("target", "north", &[]).is_none());
 }
--- a/crates/dispatcher-core/tests/bounds.rs
+++ b/crates/dispatcher-core/tests/bounds.rs
@@ -3,10 +3,10 @@
 use gannetridge_dispatcher_core::settings::on_true_clock;
 use gannetridge_dispatcher_core::{Bounds, BoundsError};
 
-fn bounds(retransmit_ms: u64, max_hold_ms: u64, stop_grace_ms: u64) -> Bounds {
+fn bounds(retransmit_ms: u64, max_target_lease_ms: u64, stop_grace_ms: u64) -> Bounds {
     Bounds {
         retransmit_ms,
-        max_hold_ms,
+        max_target_lease_ms,
         stop_grace_ms,
         grace_period_ms: 6_000,
         drain_ms: 2_000,
@@ -14,25 +14,25 @@
 }
 
 /// Declares tests, each a name and the bounds of a deployment.
-macro_rules! kept {
+macro_rules! leased {
     ($($name:ident: $bounds:expr;)+) => {
         $(#[test]
         fn $name() {
             let bounds = $bounds;
             let times = bounds.times().unwrap();
             // A run whose owner is gone is over before its caller comes again.
-            let over = times.vouch + on_true_clock(times.hold) + bounds.stop_grace_ms;
+            let over = times.owner_lease + on_true_clock(times.target_lease) + bounds.stop_grace_ms;
             assert!(over < bounds.retransmit_ms, "{times:?}");
             assert_eq!(over, times.over);
-            assert!(times.hold <= bounds.max_hold_ms);
+            assert!(times.target_lease <= bounds.max_target_lease_ms);
             // Neither a lost heartbeat nor a late hold ends a run.
-            assert!(3 * times.beat < times.vouch, "{times:?}");
-            assert!(2 * times.hold_wait < times.hold, "{times:?}");
+            assert!(3 * times.heartbeat < times.owner_lease, "{times:?}");
+            assert!(2 * times.long_poll < times.target_lease, "{times:?}");
         })+
     };
 }
 
-kept! {
+leased! {
     the_users_bounds: bounds(1_300, 1_000, 50);
     short_holds: bounds(1_300, 200, 50);
     callers_in_a_hurry: bounds(600, 1_000, 20);
--- a/crates/dispatcher-core/tests/keeping.rs
+++ b/crates/dispatcher-core/tests/keeping.rs
@@ -2,17 +2,17 @@
 
 mod support;
 
-use gannetridge_dispatcher_core::event::{ListedHow, SendFailure, TargetChange};
+use gannetridge_dispatcher_core::event::{ListedOutcome, SendFailure, TargetChange};
 use gannetridge_dispatcher_core::{Event, TargetReply};
 use support::{case, ended, step, target, Rig};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-fn started(rig: &mut Rig, id: &str) -> gannetridge_dispatcher_core::message::RunKey {
+fn started(rig: &mut Rig, id: &str) -> gannetridge_dispatcher_core::message::AttemptId {
     rig.submit(1, id, vec![step(1, 7_000, 300)], 3_000);
     let (call, _, key) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
-    rig.target_reply(call, TargetReply::Done { clock });
+    rig.target_reply(call, TargetReply::Accepted { clock });
     key
 }
 
@@ -22,56 +22,56 @@
         let mut rig = Rig::new();
         rig.event(Event::TargetsRead(vec![target("near", 16)]));
         rig.pass(1_000);
-        let (call, until) = rig.holds().remove(0);
+        let (call, until) = rig.renewals().remove(0);
         assert_eq!(until, None, "nobody vouches for what it finds");
-        let unknown = gannetridge_dispatcher_core::message::RunKey {
+        let unknown = gannetridge_dispatcher_core::message::AttemptId {
             task: "00000000000000aa.0.0.0".into(),
-            run: 1,
+            attempt: 1,
         };
         rig.listing(call, std::slice::from_ref(&unknown), &[]);
         rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
         assert!(rig.starts().is_empty());
         rig.pass(50);
-        let (call, until) = rig.holds().remove(0);
+        let (call, until) = rig.renewals().remove(0);
         assert_eq!(until, None);
-        rig.listing(call, &[], &[ended(1, &unknown, ListedHow::Ended)]);
+        rig.listing(call, &[], &[ended(1, &unknown, ListedOutcome::Ended)]);
         assert_eq!(rig.starts().len(), 1);
     }
 );
 
 case!(a_listing_asked_for_before_a_start_says_nothing_of_it, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let key = started(&mut rig, ID);
     // Asked for in the same millisecond in which the start was taken.
-    let (call, _) = rig.holds().remove(0);
+    let (call, _) = rig.renewals().remove(0);
     rig.now += 1;
     rig.listing(call, &[], &[]);
     assert!(rig.starts().is_empty(), "the run isn't over");
-    let (call, _) = rig.holds().remove(0);
+    let (call, _) = rig.renewals().remove(0);
     rig.now += 50;
-    rig.listing(call, &[], &[ended(1, &key, ListedHow::Done)]);
+    rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Done)]);
     assert!(rig.answer_to(1).is_some());
 });
 
 case!(a_target_taken_back_is_not_held_on_before_it_is_known, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.pass(3_100);
-    for (call, _) in rig.holds() {
+    for (call, _) in rig.renewals() {
         rig.listing(call, &[], &[]);
     }
     let key = started(&mut rig, ID);
-    let (old, _) = rig.holds().remove(0);
+    let (old, _) = rig.renewals().remove(0);
     let clock = rig.now + 500_000;
     rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 300)], 3_000);
     let (start, _, _) = rig.starts().remove(0);
-    rig.target_reply(start, TargetReply::Fenced { clock });
-    let (taking, until) = rig.holds().remove(0);
+    rig.target_reply(start, TargetReply::StaleToken { clock });
+    let (taking, until) = rig.renewals().remove(0);
     assert_eq!(until, None, "another may have started something there");
     // A listing from before the other host took it tells nothing.
     rig.listing(old, std::slice::from_ref(&key), &[]);
-    let other = gannetridge_dispatcher_core::message::RunKey {
+    let other = gannetridge_dispatcher_core::message::AttemptId {
         task: "00000000000000aa.0.0.0".into(),
-        run: 1,
+        attempt: 1,
     };
     rig.submit(3, "00000000000000cc", vec![step(1, 7_000, 300)], 3_000);
     assert!(rig.starts().is_empty());
@@ -82,7 +82,7 @@
 case!(
     a_start_without_reply_is_stopped_and_tried_elsewhere_once_over,
     {
-        let mut rig = Rig::keeping(&[target("one", 16), target("two", 16)]);
+        let mut rig = Rig::holding_targets(&[target("one", 16), target("two", 16)]);
         rig.submit(1, ID, vec![step(1, 7_000, 600)], 4_000);
         let (call, first, key) = rig.starts().remove(0);
         rig.pass(200);
@@ -93,20 +93,20 @@
         assert!(rig.starts().is_empty(), "it may have begun");
         assert_eq!(rig.stops(), vec![key]);
         rig.pass(800);
-        for (call, _) in rig.holds() {
+        for (call, _) in rig.renewals() {
             rig.listing(call, &[], &[]);
         }
         rig.pass(20);
         let starts = rig.starts();
         assert!(starts
             .iter()
-            .all(|(_, target, key)| *target != first && key.run == 2));
+            .all(|(_, target, key)| *target != first && key.attempt == 2));
         assert_eq!(starts.len(), 1);
     }
 );
 
 case!(a_leaving_target_gets_no_new_work, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let mut leaving = target("near", 16);
     leaving.leaving = true;
     rig.event(Event::TargetsChanged(vec![TargetChange::There(leaving)]));
@@ -116,7 +116,7 @@
 });
 
 case!(a_target_that_fails_all_is_left_alone, {
-    let mut rig = Rig::keeping(&[target("one", 24), target("two", 16)]);
+    let mut rig = Rig::holding_targets(&[target("one", 24), target("two", 16)]);
     // Two failures in a row on one target, of different jobs.
     let mut bad = String::new();
     for (number, id) in ["00000000000000a1", "00000000000000a2"].iter().enumerate() {
@@ -124,19 +124,19 @@
         let (call, on, key) = rig.starts().remove(0);
         bad = on;
         let clock = rig.now + 500_000;
-        rig.target_reply(call, TargetReply::Done { clock });
+        rig.target_reply(call, TargetReply::Accepted { clock });
         rig.now += 10;
         let targets: Vec<_> = rig.calls.drain(..).collect();
         for called in targets {
             let ends = if called.target == bad {
-                vec![ended(number as u64 + 1, &key, ListedHow::Failed)]
+                vec![ended(number as u64 + 1, &key, ListedOutcome::Failed)]
             } else {
                 Vec::new()
             };
             rig.listing(called.call, &[], &ends);
         }
         rig.event(Event::CallerGone {
-            token: gannetridge_dispatcher_core::Token(number as u64),
+            request_id: gannetridge_dispatcher_core::RequestId(number as u64),
         });
         rig.starts();
     }
@@ -150,7 +150,7 @@
 });
 
 case!(targets_whose_entries_lapse_with_the_store_are_used_on, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.event(Event::StoreReachable(false));
     rig.pass(1_000);
     rig.event(Event::StoreReachable(true));
@@ -166,9 +166,9 @@
 });
 
 case!(one_lost_answer_does_not_close_a_target, {
-    let mut rig = Rig::keeping(&[target("near", 24)]);
+    let mut rig = Rig::holding_targets(&[target("near", 24)]);
     started(&mut rig, ID);
-    let (call, _) = rig.holds().remove(0);
+    let (call, _) = rig.renewals().remove(0);
     rig.pass(250);
     rig.event(Event::TargetReply {
         call,
@@ -176,7 +176,7 @@
     });
     rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 300)], 3_000);
     assert_eq!(rig.starts().len(), 1);
-    let (call, _) = rig.holds().remove(0);
+    let (call, _) = rig.renewals().remove(0);
     rig.event(Event::TargetReply {
         call,
         reply: Err(SendFailure::Unknown),
--- a/crates/dispatcher-core/tests/many_peers.rs
+++ b/crates/dispatcher-core/tests/many_peers.rs
@@ -8,8 +8,8 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-fn is_beat(request: &Request) -> bool {
-    matches!(request, Request::Beat(_))
+fn is_heartbeat(request: &Request) -> bool {
+    matches!(request, Request::Heartbeat(_))
 }
 
 fn is_place(request: &Request) -> bool {
@@ -30,7 +30,7 @@
 }
 
 /// Lets time pass, answers all heartbeats and counts them.
-fn beats_in(rig: &mut Rig, ms: Millis, free_cpu: u32) -> usize {
+fn heartbeats_in(rig: &mut Rig, ms: Millis, free_cpu: u32) -> usize {
     let mut count = 0;
     let end = rig.now + ms;
     while rig.now < end {
@@ -38,44 +38,44 @@
         count += rig
             .requests
             .iter()
-            .filter(|(_, e)| is_beat(&e.request))
+            .filter(|(_, e)| is_heartbeat(&e.request))
             .count();
-        rig.answer_beats(free_cpu);
+        rig.answer_heartbeats(free_cpu);
     }
     count
 }
 
 case!(idle_heartbeats_do_not_grow_with_the_hosts, {
-    let few = beats_in(&mut among(8), 20_000, 0);
-    let many = beats_in(&mut among(48), 20_000, 0);
+    let few = heartbeats_in(&mut among(8), 20_000, 0);
+    let many = heartbeats_in(&mut among(48), 20_000, 0);
     assert!(many <= few * 11 / 10, "{many} over {few}");
 });
 
 case!(peers_of_many_are_taken_to_live_all_the_same, {
     let mut rig = among(48);
-    beats_in(&mut rig, 5_000, 0);
+    heartbeats_in(&mut rig, 5_000, 0);
     for _ in 0..100 {
-        beats_in(&mut rig, 50, 0);
+        heartbeats_in(&mut rig, 50, 0);
         assert_eq!(rig.host.live_peers(rig.now), 48);
     }
 });
 
 case!(silent_peers_of_many_are_noticed, {
     let mut rig = among(48);
-    beats_in(&mut rig, 5_000, 0);
+    heartbeats_in(&mut rig, 5_000, 0);
     rig.pass(2_200);
     assert_eq!(rig.host.live_peers(rig.now), 0);
 });
 
 case!(a_want_is_told_to_some_of_many_and_to_others_next, {
     let mut rig = among(48);
-    beats_in(&mut rig, 5_000, 0);
+    heartbeats_in(&mut rig, 5_000, 0);
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
     let mut told = Vec::new();
     for _ in 0..2 {
-        let wants = rig.requests(|request| matches!(request, Request::Want(Some(_))));
-        assert_eq!(wants.len(), 8);
-        told.extend(wants.into_iter().map(|(call, _)| rig.addresses[&call]));
+        let demands = rig.requests(|request| matches!(request, Request::Demand(Some(_))));
+        assert_eq!(demands.len(), 8);
+        told.extend(demands.into_iter().map(|(call, _)| rig.addresses[&call]));
         rig.pass(100);
     }
     told.sort();
@@ -85,7 +85,7 @@
 
 case!(a_peers_clock_is_heard_before_it_gets_tasks, {
     let mut rig = among(48);
-    beats_in(&mut rig, 5_000, 16_000);
+    heartbeats_in(&mut rig, 5_000, 16_000);
     // Nothing was heard of anyone for longer than half a vouch.
     rig.pass(300);
     rig.requests(|_| true);
@@ -94,44 +94,51 @@
     assert_eq!(
         rig.requests
             .iter()
-            .filter(|(_, e)| is_beat(&e.request))
+            .filter(|(_, e)| is_heartbeat(&e.request))
             .count(),
         1
     );
-    rig.answer_beats(16_000);
+    rig.answer_heartbeats(16_000);
     assert_eq!(rig.requests(is_place).len(), 1, "then it gets them at once");
 });
 
 case!(heartbeats_keep_up_the_vouches_where_tasks_run, {
     let mut rig = among(48);
-    beats_in(&mut rig, 5_000, 16_000);
+    heartbeats_in(&mut rig, 5_000, 16_000);
     rig.submit(1, ID, vec![step(1, 7_000, 2_000)], 6_000);
-    rig.answer_beats(16_000);
+    rig.answer_heartbeats(16_000);
     let (call, envelope) = rig.requests(is_place).remove(0);
-    let keeper = rig.addresses[&call];
+    let targets = rig.addresses[&call];
     let reply = Ok(rig.reply(ReplyBody::Placed(vec![0]), 0));
     rig.event(Event::PeerReply { call, reply });
-    let mut newest = envelope.echo.expect("its clock was heard").clock;
-    let vouch = support::BOUNDS.times().unwrap().vouch;
+    let mut newest = envelope.echoed_clock.expect("its clock was heard").clock;
+    let owner_lease = support::BOUNDS.times().unwrap().owner_lease;
     for _ in 0..150 {
         rig.pass(10);
         let requests = rig.requests.iter();
-        let there = requests.filter(|(call, _)| rig.addresses[call] == keeper);
-        let clocks = there.filter_map(|(_, e)| e.echo);
-        newest = clocks.map(|echo| echo.clock).max().unwrap_or(0).max(newest);
-        rig.answer_beats(0);
+        let there = requests.filter(|(call, _)| rig.addresses[call] == targets);
+        let clocks = there.filter_map(|(_, e)| e.echoed_clock);
+        newest = clocks
+            .map(|echoed_clock| echoed_clock.clock)
+            .max()
+            .unwrap_or(0)
+            .max(newest);
+        rig.answer_heartbeats(0);
         // The peer's clock is ahead by 90 s; see the rig's replies.
         let age = rig.now + 90_000 - newest;
-        assert!(age < vouch, "what vouches for the run is {age} ms old");
+        assert!(
+            age < owner_lease,
+            "what vouches for the run is {age} ms old"
+        );
     }
 });
 
 case!(one_request_carries_all_that_fits_at_a_peer, {
     let mut rig = among(48);
-    beats_in(&mut rig, 5_000, 64_000);
+    heartbeats_in(&mut rig, 5_000, 64_000);
     rig.submit(1, ID, vec![step(8, 7_000, 300)], 3_000);
     // Those whose clock wasn't heard of late are asked for it first.
-    rig.answer_beats(64_000);
+    rig.answer_heartbeats(64_000);
     let places = rig.requests(is_place);
     assert_eq!(places.len(), 1);
     let Request::Place(orders) = &places[0].1.request else {
--- a/crates/dispatcher-core/tests/messages.rs
+++ b/crates/dispatcher-core/tests/messages.rs
@@ -5,11 +5,11 @@
 use std::fmt::Write;
 
 use gannetridge_dispatcher_core::message::{
-    Beat, BeatReply, Echo, End, Envelope, FreeRoom, HostInfo, Rank, Reply, ReplyBody, Request,
-    RunEnd, RunKey, TaskOrder, Urge, Want,
+    AttemptEnd, AttemptId, AttemptOutcome, Demand, EchoedClock, Envelope, FreeResources, Heartbeat,
+    HeartbeatReply, HostInfo, Priority, PriorityClass, Reply, ReplyBody, Request, TaskOrder,
 };
 use gannetridge_dispatcher_core::queues::{Queue, Queues};
-use gannetridge_dispatcher_core::spec::Room;
+use gannetridge_dispatcher_core::spec::Resources;
 use gannetridge_wire::codec;
 
 /// Declares tests, each a name and the message that its snapshot holds.
@@ -45,29 +45,29 @@
         address: "10.0.0.1:7001".parse().unwrap(),
         hall: "hall-a".into(),
         incarnation: 1_700_000_000_123,
-        power: 250,
+        processor_weight: 250,
     }
 }
 
-fn key() -> RunKey {
-    RunKey {
+fn key() -> AttemptId {
+    AttemptId {
         task: "0123456789abcdef.0.1.2".into(),
-        run: 3,
+        attempt: 3,
     }
 }
 
-fn room(cpu: u32) -> Room {
-    Room {
+fn resources(cpu: u32) -> Resources {
+    Resources {
         cpu,
         memory_mb: 256,
         gpus: 1,
     }
 }
 
-fn free() -> FreeRoom {
-    FreeRoom {
+fn free() -> FreeResources {
+    FreeResources {
         pool: "pool-1".into(),
-        room: room(700),
+        resources: resources(700),
     }
 }
 
@@ -76,7 +76,7 @@
         key: key(),
         specification: "spec".into(),
         pool: "pool-1".into(),
-        room: room(500),
+        resources: resources(500),
         estimate_ms: 90,
         requirement: Some("arch-1".into()),
         rack: Some("rack-2".into()),
@@ -95,28 +95,33 @@
     }
 }
 
-fn want(rank: Rank) -> Want {
-    Want {
-        urge: Urge {
+fn demand(rank: PriorityClass) -> Demand {
+    Demand {
+        priority: Priority {
             rank,
             urgency: 2,
             slack_ms: -40,
         },
         pool: "pool-1".into(),
-        least: room(500),
+        least: resources(500),
         count: 9,
     }
 }
 
-fn ends() -> Vec<RunEnd> {
-    [End::Done, End::Failed, End::Lost, End::Outnumbered]
-        .into_iter()
-        .map(|end| RunEnd {
-            key: key(),
-            end,
-            target: "target-7".into(),
-        })
-        .collect()
+fn ends() -> Vec<AttemptEnd> {
+    [
+        AttemptOutcome::Done,
+        AttemptOutcome::Failed,
+        AttemptOutcome::Lost,
+        AttemptOutcome::StaleAttempt,
+    ]
+    .into_iter()
+    .map(|end| AttemptEnd {
+        key: key(),
+        end,
+        target: "target-7".into(),
+    })
+    .collect()
 }
 
 fn queues() -> Queues {
@@ -135,8 +140,8 @@
     }
 }
 
-fn beat() -> Beat {
-    Beat {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         leaving: true,
         version: 12,
         hosts_hash: 0x0102_0304_0506_0708,
@@ -147,7 +152,7 @@
     Envelope {
         from: host("host-a"),
         session: 5,
-        echo: Some(Echo {
+        echoed_clock: Some(EchoedClock {
             incarnation: 77,
             clock: 4_321,
         }),
@@ -166,28 +171,28 @@
 }
 
 bytes! {
-    request_beat: ask(Request::Beat(beat()));
-    request_without_echo: Envelope { echo: None, ..ask(Request::Queues) };
+    request_beat: ask(Request::Heartbeat(heartbeat()));
+    request_without_echo: Envelope { echoed_clock: None, ..ask(Request::Queues) };
     request_place: ask(Request::Place(vec![order(), plain_order()]));
-    request_want: ask(Request::Want(Some(want(Rank::Begun))));
-    request_want_in_aim: ask(Request::Want(Some(want(Rank::InAim))));
-    request_want_late: ask(Request::Want(Some(want(Rank::Late))));
-    request_want_worthless: ask(Request::Want(Some(want(Rank::Worthless))));
-    request_no_want: ask(Request::Want(None));
-    request_offer: ask(Request::Offer(free()));
+    request_want: ask(Request::Demand(Some(demand(PriorityClass::Begun))));
+    request_want_in_aim: ask(Request::Demand(Some(demand(PriorityClass::OnTime))));
+    request_want_late: ask(Request::Demand(Some(demand(PriorityClass::Late))));
+    request_want_worthless: ask(Request::Demand(Some(demand(PriorityClass::Worthless))));
+    request_no_want: ask(Request::Demand(None));
+    request_offer: ask(Request::Reservation(free()));
     request_stop: ask(Request::Stop { keys: vec![key()], report: true });
     request_ended: ask(Request::Ended(ends()));
     request_queues: ask(Request::Queues);
-    reply_beat: reply(ReplyBody::Beat(BeatReply {
+    reply_beat: reply(ReplyBody::Heartbeat(HeartbeatReply {
         leaving: false,
         version: 11,
-        kept: vec!["target-7".into(), "target-8".into()],
+        leased: vec!["target-7".into(), "target-8".into()],
         hosts: vec![host("host-a"), host("host-b")],
     }));
     reply_placed: reply(ReplyBody::Placed(vec![0, 2]));
     reply_interested: reply(ReplyBody::Interested(true));
     reply_queues: reply(ReplyBody::Queues(Some(queues())));
     reply_no_queues: reply(ReplyBody::Queues(None));
-    reply_noted: reply(ReplyBody::Noted);
+    reply_noted: reply(ReplyBody::Acknowledged);
     reply_stale: reply(ReplyBody::Stale);
 }
--- a/crates/dispatcher-core/tests/peers.rs
+++ b/crates/dispatcher-core/tests/peers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use gannetridge_dispatcher_core::event::SendFailure;
-use gannetridge_dispatcher_core::message::{ReplyBody, Request, RunKey, TaskOrder};
+use gannetridge_dispatcher_core::message::{AttemptId, ReplyBody, Request, TaskOrder};
 use gannetridge_dispatcher_core::{Answer, Event, TargetReply};
 use support::{case, peer_info, step, target, Rig};
 
@@ -16,22 +16,22 @@
     rig.event(Event::TargetsRead(vec![target("far", 16)]));
     for _ in 0..100 {
         rig.pass(10);
-        rig.answer_beats(free_cpu);
+        rig.answer_heartbeats(free_cpu);
     }
-    assert!(rig.holds().is_empty(), "the peer keeps it");
+    assert!(rig.renewals().is_empty(), "the peer keeps it");
     rig
 }
 
 /// An order in the peer's name.
 fn order(task: &str) -> TaskOrder {
     TaskOrder {
-        key: RunKey {
+        key: AttemptId {
             task: task.into(),
-            run: 1,
+            attempt: 1,
         },
         specification: "work".into(),
         pool: "pool".into(),
-        room: support::room(7_000),
+        resources: support::resources(7_000),
         estimate_ms: 900,
         requirement: None,
         rack: None,
@@ -43,21 +43,21 @@
 case!(a_silent_peers_targets_are_taken_after_two_vouches, {
     let mut rig = with_peer(0);
     rig.pass(900);
-    assert!(rig.holds().is_empty(), "it may only be slow to answer");
+    assert!(rig.renewals().is_empty(), "it may only be slow to answer");
     rig.pass(400);
-    assert_eq!(rig.holds().len(), 1);
+    assert_eq!(rig.renewals().len(), 1);
 });
 
 case!(a_refused_peers_targets_are_taken_at_once, {
     let mut rig = with_peer(0);
     rig.pass(200);
-    let beats = rig.requests(|request| matches!(request, Request::Beat(_)));
+    let heartbeats = rig.requests(|request| matches!(request, Request::Heartbeat(_)));
     rig.event(Event::PeerReply {
-        call: beats[0].0,
+        call: heartbeats[0].0,
         reply: Err(SendFailure::Refused),
     });
     rig.pass(60);
-    assert_eq!(rig.holds().len(), 1);
+    assert_eq!(rig.renewals().len(), 1);
 });
 
 case!(a_host_that_hears_few_leaves_their_targets_alone, {
@@ -73,26 +73,26 @@
     rig.event(Event::TargetsRead(vec![target("far", 16)]));
     for _ in 0..100 {
         rig.pass(10);
-        rig.answer_beats(0);
+        rig.answer_heartbeats(0);
     }
     // All three fall silent together: more likely this host is cut off.
     rig.pass(7_000);
-    assert!(rig.holds().is_empty());
+    assert!(rig.renewals().is_empty());
     rig.pass(2_000);
-    assert_eq!(rig.holds().len(), 1, "or they are gone after all");
+    assert_eq!(rig.renewals().len(), 1, "or they are gone after all");
 });
 
 case!(
     an_incumbent_takes_a_target_back_however_often_it_is_taken,
     {
-        let mut rig = Rig::keeping(&[target("near", 16)]);
+        let mut rig = Rig::holding_targets(&[target("near", 16)]);
         rig.pass(3_100);
         for _ in 0..3 {
-            for (call, _) in rig.holds() {
+            for (call, _) in rig.renewals() {
                 let clock = rig.now + 500_000;
-                rig.target_reply(call, TargetReply::Fenced { clock });
+                rig.target_reply(call, TargetReply::StaleToken { clock });
             }
-            let taking = rig.holds();
+            let taking = rig.renewals();
             assert_eq!(taking.len(), 1, "it is taken back at once");
             rig.listing(taking[0].0, &[], &[]);
             rig.pass(3_000);
@@ -114,7 +114,7 @@
     while place.is_empty() {
         rig.pass(10);
         assert!(rig.now < last_heard + 5_000, "it is tried again");
-        for (call, _) in rig.holds() {
+        for (call, _) in rig.renewals() {
             rig.listing(call, &[], &[]);
         }
         place = rig.starts();
@@ -125,11 +125,11 @@
         "{} after {last_heard}",
         rig.now
     );
-    assert_eq!(place[0].2.run, 2);
+    assert_eq!(place[0].2.attempt, 2);
 });
 
 case!(work_is_taken_only_from_hosts_that_vouch_for_it, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let order = order("00000000000000aa.0.0.0");
     rig.peer_asks(1, Request::Place(vec![order.clone()]));
     assert!(matches!(rig.replies[0].1.body, ReplyBody::Placed(_)));
@@ -142,13 +142,13 @@
 case!(a_task_that_found_no_room_is_taken_by_an_offer, {
     let mut rig = with_peer(0);
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
-    let wants = rig.requests(|request| matches!(request, Request::Want(Some(_))));
-    assert_eq!(wants.len(), 1);
-    let free = gannetridge_dispatcher_core::message::FreeRoom {
+    let demands = rig.requests(|request| matches!(request, Request::Demand(Some(_))));
+    assert_eq!(demands.len(), 1);
+    let free = gannetridge_dispatcher_core::message::FreeResources {
         pool: "pool".into(),
-        room: support::room(8_000),
+        resources: support::resources(8_000),
     };
-    rig.peer_asks(1, Request::Offer(free));
+    rig.peer_asks(1, Request::Reservation(free));
     assert!(matches!(rig.replies[0].1.body, ReplyBody::Interested(true)));
     assert_eq!(rig.requests(|r| matches!(r, Request::Place(_))).len(), 1);
     assert_eq!(rig.answer_to(1), None::<&Answer>);
@@ -159,50 +159,50 @@
     {
         let mut rig = with_peer(16_000);
         // The last life has given up its runs here several times.
-        rig.peer_asks_as(1, 7, 5, Request::Want(None));
+        rig.peer_asks_as(1, 7, 5, Request::Demand(None));
         // A reply is the first that tells of the next life, whose sessions begin
         // anew.
         rig.pass(200);
-        let beats = rig.requests(|request| matches!(request, Request::Beat(_)));
+        let heartbeats = rig.requests(|request| matches!(request, Request::Heartbeat(_)));
         let mut reply = rig.reply(
-            ReplyBody::Beat(gannetridge_dispatcher_core::message::BeatReply {
+            ReplyBody::Heartbeat(gannetridge_dispatcher_core::message::HeartbeatReply {
                 leaving: false,
                 version: 1,
-                kept: Vec::new(),
+                leased: Vec::new(),
                 hosts: Vec::new(),
             }),
             16_000,
         );
         reply.incarnation = 8;
         rig.event(Event::PeerReply {
-            call: beats[0].0,
+            call: heartbeats[0].0,
             reply: Ok(reply),
         });
         rig.peer_asks_as(2, 8, 1, Request::Ended(Vec::new()));
-        let heard = rig.replies.iter().find(|(token, _)| token.0 == 2);
-        assert!(matches!(heard.unwrap().1.body, ReplyBody::Noted));
+        let heard = rig.replies.iter().find(|(request_id, _)| request_id.0 == 2);
+        assert!(matches!(heard.unwrap().1.body, ReplyBody::Acknowledged));
     }
 );
 
 case!(ends_that_were_not_heard_are_told_again, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let order = order("00000000000000aa.0.0.0");
     rig.peer_asks(1, Request::Place(vec![order.clone()]));
     let start = rig.starts().remove(0);
     rig.target_reply(
         start.0,
-        TargetReply::Done {
+        TargetReply::Accepted {
             clock: rig.now + 500_000,
         },
     );
     rig.pass(20);
-    let hold = rig.holds().remove(0);
+    let target_lease = rig.renewals().remove(0);
     let end = support::ended(
         1,
         &order.key,
-        gannetridge_dispatcher_core::event::ListedHow::Done,
+        gannetridge_dispatcher_core::event::ListedOutcome::Done,
     );
-    rig.listing(hold.0, &[], &[end]);
+    rig.listing(target_lease.0, &[], &[end]);
     let ended = |request: &Request| matches!(request, Request::Ended(_));
     let told = rig.requests(ended);
     assert_eq!(told.len(), 1);
--- a/crates/dispatcher-core/tests/stopping.rs
+++ b/crates/dispatcher-core/tests/stopping.rs
@@ -2,14 +2,14 @@
 
 mod support;
 
-use gannetridge_dispatcher_core::event::ListedHow;
+use gannetridge_dispatcher_core::event::ListedOutcome;
 use gannetridge_dispatcher_core::{Answer, Event, TargetReply};
 use support::{case, ended, step, target, Rig};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
 case!(a_stopping_host_takes_what_it_can_still_end, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.event(Event::Stop);
     rig.pass(3_000);
     // 2.5 s are left: enough for a short job, not for a long one.
@@ -20,29 +20,29 @@
 });
 
 case!(a_stopping_host_ends_what_it_has_and_then_stops, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 6_000);
     let (call, _, key) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
-    rig.target_reply(call, TargetReply::Done { clock });
+    rig.target_reply(call, TargetReply::Accepted { clock });
     rig.event(Event::Stop);
     for _ in 0..25 {
         rig.pass(100);
-        for (call, _) in rig.holds() {
+        for (call, _) in rig.renewals() {
             rig.listing(call, std::slice::from_ref(&key), &[]);
         }
     }
     assert!(!rig.stopped, "its job still runs");
     rig.pass(10);
-    let (call, _) = rig.holds().remove(0);
-    rig.listing(call, &[], &[ended(1, &key, ListedHow::Done)]);
+    let (call, _) = rig.renewals().remove(0);
+    rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Done)]);
     assert_eq!(rig.answer_to(1), Some(&Answer::Completed));
     rig.pass(100);
     assert!(rig.stopped);
 });
 
 case!(a_stopping_host_that_is_alone_goes_on_with_its_targets, {
-    let mut rig = Rig::keeping(&[target("near", 16)]);
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(3, 7_000, 300)], 6_000);
     let starts = rig.starts();
     assert_eq!(starts.len(), 2);
@@ -51,9 +51,9 @@
     let ends: Vec<_> = starts
         .iter()
         .enumerate()
-        .map(|(n, (_, _, key))| ended(n as u64 + 1, key, ListedHow::Done))
+        .map(|(n, (_, _, key))| ended(n as u64 + 1, key, ListedOutcome::Done))
         .collect();
-    let (call, _) = rig.holds().remove(0);
+    let (call, _) = rig.renewals().remove(0);
     rig.listing(call, &[], &ends);
     assert_eq!(
         rig.starts().len(),
--- a/crates/dispatcher-core/tests/support/mod.rs
+++ b/crates/dispatcher-core/tests/support/mod.rs
@@ -1,20 +1,20 @@
 //! One host with scripted surroundings.
 #![allow(dead_code)]
 
-use gannetridge_dispatcher_core::event::{ListedEnd, ListedHow, Submit, TargetEntry};
+use gannetridge_dispatcher_core::event::{ListedEnd, ListedOutcome, Submit, TargetEntry};
 use gannetridge_dispatcher_core::message::{
-    BeatReply, Envelope, FreeRoom, HostInfo, Reply, ReplyBody, Request, RunKey,
+    AttemptId, Envelope, FreeResources, HeartbeatReply, HostInfo, Reply, ReplyBody, Request,
 };
 use gannetridge_dispatcher_core::queues::{Queue, Queues};
-use gannetridge_dispatcher_core::spec::{JobSpec, Room, StepSpec};
+use gannetridge_dispatcher_core::spec::{JobSpec, Resources, StepSpec};
 use gannetridge_dispatcher_core::{
-    Action, Answer, Bounds, CallId, Dispatcher, Event, Millis, Settings, TargetCall, TargetReply,
-    Token,
+    Action, Answer, Bounds, CallId, Dispatcher, Event, Millis, RequestId, Settings, TargetCall,
+    TargetReply,
 };
 
 pub const BOUNDS: Bounds = Bounds {
     retransmit_ms: 1_300,
-    max_hold_ms: 1_000,
+    max_target_lease_ms: 1_000,
     stop_grace_ms: 50,
     grace_period_ms: 6_000,
     drain_ms: 2_000,
@@ -32,17 +32,17 @@
 pub struct Rig {
     pub host: Dispatcher,
     pub now: Millis,
-    pub answers: Vec<(Token, Answer)>,
+    pub answers: Vec<(RequestId, Answer)>,
     pub calls: Vec<Called>,
     pub requests: Vec<(CallId, Envelope)>,
     /// Where requests to peers were sent.
     pub addresses: std::collections::HashMap<CallId, std::net::SocketAddr>,
-    pub replies: Vec<(Token, Reply)>,
+    pub replies: Vec<(RequestId, Reply)>,
     pub stopped: bool,
 }
 
-pub fn room(cpu: u32) -> Room {
-    Room {
+pub fn resources(cpu: u32) -> Resources {
+    Resources {
         cpu,
         memory_mb: 64,
         gpus: 0,
@@ -55,7 +55,7 @@
         address: "127.0.0.1:1".into(),
         hall: "north".into(),
         pool: "pool".into(),
-        capacity: Room {
+        capacity: Resources {
             cpu: cores * 1_000,
             memory_mb: 32_768,
             gpus: 0,
@@ -84,7 +84,7 @@
 pub fn step(count: u32, cpu: u32, estimate_ms: Millis) -> StepSpec {
     StepSpec {
         count,
-        room: room(cpu),
+        resources: resources(cpu),
         estimate_ms,
         ..StepSpec::default()
     }
@@ -96,7 +96,7 @@
         address: "127.0.0.1:3".parse().unwrap(),
         hall: "north".into(),
         incarnation: 7,
-        power: 1_000,
+        processor_weight: 1_000,
     }
 }
 
@@ -108,7 +108,7 @@
             address: "127.0.0.1:2".parse().unwrap(),
             hall: "north".into(),
             incarnation: 5,
-            power: 1_000,
+            processor_weight: 1_000,
             seeds: Vec::new(),
             bounds: BOUNDS,
             epoch_ms: 1_760_000_000_000,
@@ -129,12 +129,12 @@
     }
 
     /// A host that keeps the given targets.
-    pub fn keeping(targets: &[TargetEntry]) -> Self {
+    pub fn holding_targets(targets: &[TargetEntry]) -> Self {
         let mut rig = Self::new();
         rig.event(Event::TargetsRead(targets.to_vec()));
         rig.pass(1_000);
         for called in std::mem::take(&mut rig.calls) {
-            assert!(matches!(called.order, TargetCall::Hold { .. }));
+            assert!(matches!(called.order, TargetCall::Renew { .. }));
             rig.listing(called.call, &[], &[]);
         }
         rig
@@ -143,7 +143,7 @@
     pub fn event(&mut self, event: Event) {
         for action in self.host.handle(self.now, event) {
             match action {
-                Action::Answer { token, answer } => self.answers.push((token, answer)),
+                Action::Answer { request_id, answer } => self.answers.push((request_id, answer)),
                 Action::Target {
                     call, id, order, ..
                 } => self.calls.push(Called {
@@ -160,9 +160,9 @@
                     self.addresses.insert(call, address);
                     self.requests.push((call, *envelope));
                 }
-                Action::Reply { token, reply } => self.replies.push((token, *reply)),
+                Action::Reply { request_id, reply } => self.replies.push((request_id, *reply)),
                 Action::Stopped => self.stopped = true,
-                Action::Note(_) => {}
+                Action::Record(_) => {}
             }
         }
     }
@@ -176,15 +176,15 @@
         }
     }
 
-    pub fn submit(&mut self, token: u64, id: &str, steps: Vec<StepSpec>, deadline_ms: Millis) {
-        self.submit_to("/turns/", token, id, steps, deadline_ms);
+    pub fn submit(&mut self, request_id: u64, id: &str, steps: Vec<StepSpec>, deadline_ms: Millis) {
+        self.submit_to("/turns/", request_id, id, steps, deadline_ms);
     }
 
     /// Submits a job to the queue with a prefix.
     pub fn submit_to(
         &mut self,
         prefix: &str,
-        token: u64,
+        request_id: u64,
         id: &str,
         steps: Vec<StepSpec>,
         deadline_ms: Millis,
@@ -195,12 +195,12 @@
             deadline_ms: Some(deadline_ms),
             spec: JobSpec {
                 specification: "work".into(),
-                kept: false,
+                durable: false,
                 steps,
             },
         };
         self.event(Event::Submit {
-            token: Token(token),
+            request_id: RequestId(request_id),
             submit: Box::new(submit),
         });
     }
@@ -212,7 +212,7 @@
         });
     }
 
-    pub fn listing(&mut self, call: CallId, running: &[RunKey], ended: &[ListedEnd]) {
+    pub fn listing(&mut self, call: CallId, running: &[AttemptId], ended: &[ListedEnd]) {
         let reply = TargetReply::Listing {
             clock: self.now + 500_000,
             running: running.to_vec(),
@@ -222,7 +222,7 @@
     }
 
     /// Takes the starts that were sent, with the calls that carry them.
-    pub fn starts(&mut self) -> Vec<(CallId, String, RunKey)> {
+    pub fn starts(&mut self) -> Vec<(CallId, String, AttemptId)> {
         let mut starts = Vec::new();
         self.calls.retain(|called| match &called.order {
             TargetCall::Start(order) => {
@@ -235,7 +235,7 @@
     }
 
     /// Takes the stops that were sent.
-    pub fn stops(&mut self) -> Vec<RunKey> {
+    pub fn stops(&mut self) -> Vec<AttemptId> {
         let mut stops = Vec::new();
         self.calls.retain(|called| match &called.order {
             TargetCall::Stop(key) => {
@@ -248,16 +248,16 @@
     }
 
     /// Takes the holds that were sent.
-    pub fn holds(&mut self) -> Vec<(CallId, Option<Millis>)> {
-        let mut holds = Vec::new();
+    pub fn renewals(&mut self) -> Vec<(CallId, Option<Millis>)> {
+        let mut renewals = Vec::new();
         self.calls.retain(|called| match &called.order {
-            TargetCall::Hold { until, .. } => {
-                holds.push((called.call, *until));
+            TargetCall::Renew { until, .. } => {
+                renewals.push((called.call, *until));
                 false
             }
             _ => true,
         });
-        holds
+        renewals
     }
 
     /// Takes the requests to peers that a test looks for.
@@ -271,9 +271,9 @@
 
     /// A peer's reply that offers room.
     pub fn reply(&self, body: ReplyBody, free_cpu: u32) -> Box<Reply> {
-        let free = FreeRoom {
+        let free = FreeResources {
             pool: "pool".into(),
-            room: Room {
+            resources: Resources {
                 cpu: free_cpu,
                 memory_mb: 32_768,
                 gpus: 0,
@@ -288,13 +288,13 @@
     }
 
     /// Answers all heartbeats in the peer's name.
-    pub fn answer_beats(&mut self, free_cpu: u32) {
-        let beats = self.requests(|request| matches!(request, Request::Beat(_)));
-        for (call, _) in beats {
-            let body = ReplyBody::Beat(BeatReply {
+    pub fn answer_heartbeats(&mut self, free_cpu: u32) {
+        let heartbeats = self.requests(|request| matches!(request, Request::Heartbeat(_)));
+        for (call, _) in heartbeats {
+            let body = ReplyBody::Heartbeat(HeartbeatReply {
                 leaving: false,
                 version: 1,
-                kept: vec!["far".into()],
+                leased: vec!["far".into()],
                 hosts: Vec::new(),
             });
             let reply = Ok(self.reply(body, free_cpu));
@@ -303,19 +303,25 @@
     }
 
     /// A request in the peer's name.
-    pub fn peer_asks(&mut self, token: u64, request: Request) {
-        self.peer_asks_as(token, peer_info().incarnation, 1, request);
+    pub fn peer_asks(&mut self, request_id: u64, request: Request) {
+        self.peer_asks_as(request_id, peer_info().incarnation, 1, request);
     }
 
     /// A request in the name of one life of the peer, in a session of it.
-    pub fn peer_asks_as(&mut self, token: u64, incarnation: u64, session: u64, request: Request) {
+    pub fn peer_asks_as(
+        &mut self,
+        request_id: u64,
+        incarnation: u64,
+        session: u64,
+        request: Request,
+    ) {
         let envelope = Envelope {
             from: HostInfo {
                 incarnation,
                 ..peer_info()
             },
             session,
-            echo: Some(gannetridge_dispatcher_core::message::Echo {
+            echoed_clock: Some(gannetridge_dispatcher_core::message::EchoedClock {
                 incarnation: 5,
                 clock: self.now,
             }),
@@ -323,22 +329,25 @@
             request,
         };
         self.event(Event::Peer {
-            token: Token(token),
+            request_id: RequestId(request_id),
             envelope: Box::new(envelope),
         });
     }
 
-    pub fn answer_to(&self, token: u64) -> Option<&Answer> {
-        let found = self.answers.iter().find(|(t, _)| *t == Token(token));
+    pub fn answer_to(&self, request_id: u64) -> Option<&Answer> {
+        let found = self
+            .answers
+            .iter()
+            .find(|(t, _)| *t == RequestId(request_id));
         found.map(|(_, answer)| answer)
     }
 }
 
-pub fn ended(number: u64, key: &RunKey, how: ListedHow) -> ListedEnd {
+pub fn ended(number: u64, key: &AttemptId, outcome: ListedOutcome) -> ListedEnd {
     ListedEnd {
         number,
         key: key.clone(),
-        how,
+        outcome,
     }
 }
 
--- a/crates/dispatcher-sim/src/callers.rs
+++ b/crates/dispatcher-sim/src/callers.rs
@@ -1,7 +1,7 @@
 //! Callers that wait, leave, and come again.
 
 use gannetridge_dispatcher_core::event::Submit;
-use gannetridge_dispatcher_core::spec::{JobSpec, Room, StepSpec};
+use gannetridge_dispatcher_core::spec::{JobSpec, Resources, StepSpec};
 use gannetridge_dispatcher_core::Millis;
 use gannetridge_wire::Name;
 use rand::Rng;
@@ -45,7 +45,7 @@
         };
         let step = StepSpec {
             count,
-            room: Room {
+            resources: Resources {
                 cpu: rng.random_range(4_600..=10_000),
                 memory_mb: 64,
                 gpus: 0,
@@ -66,7 +66,7 @@
             tasks: steps.iter().map(|step| step.count as usize).sum(),
             spec: JobSpec {
                 specification: "work".into(),
-                kept: false,
+                durable: false,
                 steps,
             },
             probes: None,
--- a/crates/dispatcher-sim/src/checks.rs
+++ b/crates/dispatcher-sim/src/checks.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gannetridge_dispatcher_core::event::ListedHow;
-use gannetridge_dispatcher_core::message::RunKey;
+use gannetridge_dispatcher_core::event::ListedOutcome;
+use gannetridge_dispatcher_core::message::AttemptId;
 use gannetridge_dispatcher_core::{Answer, Millis};
 use gannetridge_wire::Name;
 
@@ -49,33 +49,33 @@
     }
 
     /// A run has begun.
-    pub fn started(&mut self, at: Millis, target: &Name, key: &RunKey, over_room: bool) {
+    pub fn started(&mut self, at: Millis, target: &Name, key: &AttemptId, over_capacity: bool) {
         self.starts += 1;
         let running = self.running.entry(key.task.clone()).or_default();
-        running.insert((target.clone(), key.run));
+        running.insert((target.clone(), key.attempt));
         let twice = running.len() > 1;
-        let what = format!("{} run {} on {target}: {running:?}", key.task, key.run);
+        let what = format!("{} run {} on {target}: {running:?}", key.task, key.attempt);
         if twice {
             self.broken(at, "twice", what);
         }
-        if over_room {
+        if over_capacity {
             self.broken(at, "room", target.to_string());
         }
         self.jobs.entry(job_of(&key.task)).or_default().started = true;
     }
 
     /// A run has ended.
-    pub fn ended(&mut self, target: &Name, key: &RunKey, how: ListedHow) {
+    pub fn ended(&mut self, target: &Name, key: &AttemptId, outcome: ListedOutcome) {
         if let Some(running) = self.running.get_mut(&key.task) {
-            running.remove(&(target.clone(), key.run));
+            running.remove(&(target.clone(), key.attempt));
         }
         let job = self.jobs.entry(job_of(&key.task)).or_default();
-        match how {
-            ListedHow::Done => {
+        match outcome {
+            ListedOutcome::Done => {
                 job.done.insert(key.task.clone());
             }
-            ListedHow::Failed => *job.failures.entry(key.task.clone()).or_default() += 1,
-            ListedHow::Ended => {}
+            ListedOutcome::Failed => *job.failures.entry(key.task.clone()).or_default() += 1,
+            ListedOutcome::Ended => {}
         }
     }
 
--- a/crates/dispatcher-sim/src/scenario.rs
+++ b/crates/dispatcher-sim/src/scenario.rs
@@ -51,7 +51,7 @@
             safeguards: Safeguards::default(),
             bounds: Bounds {
                 retransmit_ms: 1_300,
-                max_hold_ms: 1_000,
+                max_target_lease_ms: 1_000,
                 stop_grace_ms: 50,
                 grace_period_ms: 6_000,
                 drain_ms: 2_000,
