--- a/crates/dispatcher-sim/src/target.rs
+++ b/crates/dispatcher-sim/src/target.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_dispatcher_core::event::{ListedEnd, ListedHow, TargetEntry, TargetReply};
-use gannetridge_dispatcher_core::message::RunKey;
-use gannetridge_dispatcher_core::spec::Room;
-use gannetridge_dispatcher_core::{Millis, RunOrder};
+use gannetridge_dispatcher_core::event::{ListedEnd, ListedOutcome, TargetEntry, TargetReply};
+use gannetridge_dispatcher_core::message::AttemptId;
+use gannetridge_dispatcher_core::spec::Resources;
+use gannetridge_dispatcher_core::{Millis, StartOrder};
 use gannetridge_wire::Name;
 
 /// How a target misbehaves.
@@ -24,9 +24,9 @@
 
 /// A run on a target.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Attempt {
     /// What it takes.
-    pub room: Room,
+    pub resources: Resources,
     /// What is left of its work.
     pub left_ms: f64,
     /// Whether it fails at its end.
@@ -45,15 +45,15 @@
     /// How it misbehaves.
     pub mood: Mood,
     /// What runs there.
-    pub runs: BTreeMap<RunKey, Run>,
+    pub attempts: BTreeMap<AttemptId, Attempt>,
     /// Ends that were not taken note of.
     pub ended: Vec<ListedEnd>,
     /// A part of true time that its clock shows.
     pub rate: f64,
     clock_base: f64,
-    fence: u64,
-    hold_until: f64,
-    max_hold_ms: f64,
+    token: u64,
+    lease_until: f64,
+    max_target_lease_ms: f64,
     last_end: u64,
     /// The highest run of each task that was stopped or ended here.
     past: BTreeMap<Name, u32>,
@@ -64,27 +64,27 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
     /// The run.
-    pub key: RunKey,
+    pub key: AttemptId,
     /// How it ended.
-    pub how: ListedHow,
+    pub outcome: ListedOutcome,
 }
 
 impl Target {
     /// Creates a target whose clock runs at `rate`.
     #[must_use]
-    pub fn new(entry: TargetEntry, guards: bool, rate: f64, max_hold_ms: Millis) -> Self {
+    pub fn new(entry: TargetEntry, guards: bool, rate: f64, max_target_lease_ms: Millis) -> Self {
         Self {
             entry,
             guards,
             up: true,
             mood: Mood::Well,
-            runs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             ended: Vec::new(),
             rate,
             clock_base: 400_000.0,
-            fence: 0,
-            hold_until: 0.0,
-            max_hold_ms: max_hold_ms as f64,
+            token: 0,
+            lease_until: 0.0,
+            max_target_lease_ms: max_target_lease_ms as f64,
             last_end: 0,
             past: BTreeMap::new(),
             advanced: 0,
@@ -100,7 +100,10 @@
     /// Returns how much room its runs take beyond its capacity.
     #[must_use]
     pub fn used_cpu(&self) -> u32 {
-        self.runs.values().map(|run| run.room.cpu).sum()
+        self.attempts
+            .values()
+            .map(|attempt| attempt.resources.cpu)
+            .sum()
     }
 
     /// Lets its runs work until `now`; returns what ended.
@@ -112,106 +115,117 @@
             Mood::Hangs => 0.0,
             Mood::Slow => 1.0 / 7.0,
         };
-        let lapsed = self.clock(now) > self.hold_until;
+        let lease_expired = self.clock(now) > self.lease_until;
         let mut over = Vec::new();
-        for (key, run) in &mut self.runs {
-            run.left_ms -= passed * speed;
-            if lapsed {
-                over.push((key.clone(), ListedHow::Ended));
-            } else if run.left_ms <= 0.0 {
-                let fails = run.fails || self.mood == Mood::Fails;
-                let how = if fails {
-                    ListedHow::Failed
+        for (key, attempt) in &mut self.attempts {
+            attempt.left_ms -= passed * speed;
+            if lease_expired {
+                over.push((key.clone(), ListedOutcome::Ended));
+            } else if attempt.left_ms <= 0.0 {
+                let fails = attempt.fails || self.mood == Mood::Fails;
+                let outcome = if fails {
+                    ListedOutcome::Failed
                 } else {
-                    ListedHow::Done
+                    ListedOutcome::Done
                 };
-                over.push((key.clone(), how));
+                over.push((key.clone(), outcome));
             }
         }
         let ends = over.into_iter();
-        ends.map(|(key, how)| self.end(key, how)).collect()
+        ends.map(|(key, outcome)| self.end(key, outcome)).collect()
     }
 
-    fn end(&mut self, key: RunKey, how: ListedHow) -> Ended {
-        self.runs.remove(&key);
+    fn end(&mut self, key: AttemptId, outcome: ListedOutcome) -> Ended {
+        self.attempts.remove(&key);
         self.pass(&key);
         self.last_end += 1;
         self.ended.push(ListedEnd {
             number: self.last_end,
             key: key.clone(),
-            how,
+            outcome,
         });
-        Ended { key, how }
+        Ended { key, outcome }
     }
 
-    fn pass(&mut self, key: &RunKey) {
+    fn pass(&mut self, key: &AttemptId) {
         let past = self.past.entry(key.task.clone()).or_default();
-        *past = (*past).max(key.run);
+        *past = (*past).max(key.attempt);
     }
 
-    fn is_fenced(&mut self, fence: u64) -> bool {
-        let fenced = fence < self.fence;
-        self.fence = self.fence.max(fence);
-        fenced
+    fn is_stale_token(&mut self, token: u64) -> bool {
+        let token_superseded = token < self.token;
+        self.token = self.token.max(token);
+        token_superseded
     }
 
-    fn hold_to(&mut self, now: Millis, until: Millis) {
-        let longest = self.clock(now) + self.max_hold_ms;
-        self.hold_until = self.hold_until.max((until as f64).min(longest));
+    fn extend_lease(&mut self, now: Millis, until: Millis) {
+        let longest = self.clock(now) + self.max_target_lease_ms;
+        self.lease_until = self.lease_until.max((until as f64).min(longest));
     }
 
     /// Starts a task; returns whether a run began.
     pub fn start(
         &mut self,
         now: Millis,
-        fence: u64,
-        order: &RunOrder,
-        run: Run,
+        token: u64,
+        order: &StartOrder,
+        attempt: Attempt,
     ) -> (TargetReply, bool) {
         let clock = self.clock(now) as Millis;
-        if self.is_fenced(fence) {
-            return (TargetReply::Fenced { clock }, false);
+        if self.is_stale_token(token) {
+            return (TargetReply::StaleToken { clock }, false);
         }
-        if self.runs.contains_key(&order.key) {
-            return (TargetReply::Done { clock }, false);
+        if self.attempts.contains_key(&order.key) {
+            return (TargetReply::Accepted { clock }, false);
         }
         if (order.until as f64) < self.clock(now) {
-            return (TargetReply::Late { clock }, false);
+            return (TargetReply::StartDeadlinePassed { clock }, false);
         }
-        self.hold_to(now, order.until);
+        self.extend_lease(now, order.until);
         let past = self.past.get(&order.key.task);
-        if past.is_some_and(|past| order.key.run <= *past) {
-            return (TargetReply::Outnumbered { clock }, false);
+        if past.is_some_and(|past| order.key.attempt <= *past) {
+            return (TargetReply::StaleAttempt { clock }, false);
         }
-        let used = self.used_cpu() + run.room.cpu;
+        let used = self.used_cpu() + attempt.resources.cpu;
         if self.guards && used > self.entry.capacity.cpu {
-            return (TargetReply::Full { clock }, false);
+            return (TargetReply::InsufficientResources { clock }, false);
         }
-        self.runs.insert(order.key.clone(), run);
-        (TargetReply::Done { clock }, true)
+        self.attempts.insert(order.key.clone(), attempt);
+        (TargetReply::Accepted { clock }, true)
     }
 
     /// Stops a run; returns its end.
-    pub fn stop(&mut self, now: Millis, fence: u64, key: &RunKey) -> (TargetReply, Option<Ended>) {
+    pub fn stop(
+        &mut self,
+        now: Millis,
+        token: u64,
+        key: &AttemptId,
+    ) -> (TargetReply, Option<Ended>) {
         let clock = self.clock(now) as Millis;
-        if self.is_fenced(fence) {
-            return (TargetReply::Fenced { clock }, None);
+        if self.is_stale_token(token) {
+            return (TargetReply::StaleToken { clock }, None);
         }
         self.pass(key);
-        let there = self.runs.contains_key(key);
-        let ended = there.then(|| self.end(key.clone(), ListedHow::Ended));
-        (TargetReply::Done { clock }, ended)
+        let there = self.attempts.contains_key(key);
+        let ended = there.then(|| self.end(key.clone(), ListedOutcome::Ended));
+        (TargetReply::Accepted { clock }, ended)
     }
 
     /// Extends the hold and takes note of ends; tells whether it may list.
-    pub fn hold(&mut self, now: Millis, fence: u64, until: Option<Millis>, noted: u64) -> bool {
-        if self.is_fenced(fence) {
+    pub fn target_lease(
+        &mut self,
+        now: Millis,
+        token: u64,
+        until: Option<Millis>,
+        acknowledged: u64,
+    ) -> bool {
+        if self.is_stale_token(token) {
             return false;
         }
         if let Some(until) = until {
-            self.hold_to(now, until);
+            self.extend_lease(now, until);
         }
-        self.ended.retain(|end| end.number > noted);
+        self.ended.retain(|end| end.number > acknowledged);
         true
     }
 
@@ -220,7 +234,7 @@
     pub fn listing(&self, now: Millis) -> TargetReply {
         TargetReply::Listing {
             clock: self.clock(now) as Millis,
-            running: self.runs.keys().cloned().collect(),
+            running: self.attempts.keys().cloned().collect(),
             ended: self.ended.clone(),
         }
     }
--- a/crates/dispatcher-sim/src/world/answers.rs
+++ b/crates/dispatcher-sim/src/world/answers.rs
@@ -10,8 +10,8 @@
         let number = self.callers.len() as u64;
         let caller = Caller::draw(&mut self.rng, number, self.now);
         let step = &caller.spec.steps[0];
-        let work = (step.room, step.estimate_ms);
-        self.rooms.insert(caller.id.clone(), work);
+        let work = (step.resources, step.estimate_ms);
+        self.resources.insert(caller.id.clone(), work);
         let index = self.callers.len();
         self.at(caller.until, Happening::Deadline(index));
         if self.rng.random_bool(0.1) {
@@ -31,8 +31,8 @@
         let number = self.callers.len() as u64;
         let caller = Caller::probe(&mut self.rng, host, number, self.now);
         let step = &caller.spec.steps[0];
-        self.rooms
-            .insert(caller.id.clone(), (step.room, step.estimate_ms));
+        self.resources
+            .insert(caller.id.clone(), (step.resources, step.estimate_ms));
         let index = self.callers.len();
         self.at(caller.until, Happening::Deadline(index));
         self.callers.push(caller);
@@ -63,16 +63,16 @@
             self.come_again(index);
             return;
         }
-        self.tokens += 1;
-        let token = self.tokens;
+        self.request_ids += 1;
+        let request_id = self.request_ids;
         let submit = self.callers[index].submit(self.now);
-        self.callers[index].waits_at = Some((host, token));
+        self.callers[index].waits_at = Some((host, request_id));
         self.callers[index].tried = self.now;
         let there = &mut self.hosts[host];
-        there.callers.insert(token, index);
+        there.callers.insert(request_id, index);
         let life = there.life;
-        let token = Token(token);
-        self.give(host, life, Event::Submit { token, submit });
+        let request_id = RequestId(request_id);
+        self.give(host, life, Event::Submit { request_id, submit });
     }
 
     pub(super) fn come_again(&mut self, index: usize) {
@@ -80,8 +80,8 @@
         self.at(again, Happening::Try(index));
     }
 
-    pub(super) fn answer(&mut self, host: usize, token: u64, answer: &Answer) {
-        let Some(index) = self.hosts[host].callers.remove(&token) else {
+    pub(super) fn answer(&mut self, host: usize, request_id: u64, answer: &Answer) {
+        let Some(index) = self.hosts[host].callers.remove(&request_id) else {
             return;
         };
         self.callers[index].waits_at = None;
@@ -122,7 +122,7 @@
 
     pub(super) fn deadline(&mut self, index: usize) {
         let caller = &mut self.callers[index];
-        if let (false, Some((host, token))) = (caller.over, caller.waits_at) {
+        if let (false, Some((host, request_id))) = (caller.over, caller.waits_at) {
             let (id, tasks) = (caller.id.clone(), caller.tasks);
             // A host that stood still meanwhile may be late, and a try in the
             // last moment has no time for an answer.
@@ -134,27 +134,27 @@
             }
             self.checks
                 .answered(self.now, &id, tasks, MAX_ATTEMPTS, None);
-            self.gone(index, host, token);
+            self.gone(index, host, request_id);
         }
         self.callers[index].over = true;
     }
 
     pub(super) fn leave(&mut self, index: usize) {
         let caller = &self.callers[index];
-        if let (false, Some((host, token))) = (caller.over, caller.waits_at) {
+        if let (false, Some((host, request_id))) = (caller.over, caller.waits_at) {
             let (id, tasks) = (caller.id.clone(), caller.tasks);
             self.checks
                 .answered(self.now, &id, tasks, MAX_ATTEMPTS, None);
-            self.gone(index, host, token);
+            self.gone(index, host, request_id);
         }
         self.callers[index].over = true;
     }
 
-    pub(super) fn gone(&mut self, index: usize, host: usize, token: u64) {
+    pub(super) fn gone(&mut self, index: usize, host: usize, request_id: u64) {
         self.callers[index].over = true;
         self.callers[index].waits_at = None;
-        self.hosts[host].callers.remove(&token);
-        let token = Token(token);
-        self.tell(host, 1, Event::CallerGone { token });
+        self.hosts[host].callers.remove(&request_id);
+        let request_id = RequestId(request_id);
+        self.tell(host, 1, Event::CallerGone { request_id });
     }
 }
--- a/crates/dispatcher-sim/src/world/building.rs
+++ b/crates/dispatcher-sim/src/world/building.rs
@@ -20,7 +20,7 @@
             address: format!("{index}").into(),
             hall: format!("hall-{hall}").into(),
             pool: "pool".into(),
-            capacity: Room {
+            capacity: Resources {
                 cpu: cores * 1_000,
                 memory_mb: 32_768,
                 gpus: 0,
@@ -29,7 +29,7 @@
             leaving: false,
         };
         let rate = self.rng.random_range(0.98..=1.0);
-        let longest = self.scenario.bounds.max_hold_ms;
+        let longest = self.scenario.bounds.max_target_lease_ms;
         Target::new(entry, self.scenario.guards, rate, longest)
     }
 
@@ -45,14 +45,14 @@
                 .expect("an address"),
             hall: format!("hall-{hall}").into(),
             incarnation: EPOCH_MS + self.now,
-            power: if index % 3 == 0 { 500 } else { 120 },
+            processor_weight: if index % 3 == 0 { 500 } else { 120 },
         };
         let settings = Settings {
             name: info.name.clone(),
             address: info.address,
             hall: info.hall.clone(),
             incarnation: info.incarnation,
-            power: info.power,
+            processor_weight: info.processor_weight,
             seeds: vec!["127.0.0.1:1000".parse().expect("an address")],
             bounds: self.scenario.bounds,
             epoch_ms: EPOCH_MS + base + skew,
--- a/crates/dispatcher-sim/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -12,10 +12,10 @@
 use gannetridge_dispatcher_core::event::{TargetChange, TargetEntry};
 use gannetridge_dispatcher_core::message::{Envelope, HostInfo, Reply};
 use gannetridge_dispatcher_core::queues::{Queue, Queues};
-use gannetridge_dispatcher_core::spec::Room;
+use gannetridge_dispatcher_core::spec::Resources;
 use gannetridge_dispatcher_core::{
-    Action, Answer, CallId, Dispatcher, Event, Millis, RunOrder, SendFailure, Settings, TargetCall,
-    TargetReply, Token,
+    Action, Answer, CallId, Dispatcher, Event, Millis, RequestId, SendFailure, Settings,
+    StartOrder, TargetCall, TargetReply,
 };
 use gannetridge_wire::Name;
 use rand::{Rng, SeedableRng};
@@ -25,7 +25,7 @@
 use crate::checks::Checks;
 use crate::faults::{self, Fault};
 use crate::scenario::{Outcome, Scenario};
-use crate::target::{Mood, Run, Target};
+use crate::target::{Attempt, Mood, Target};
 
 /// Between looks at what runs on targets.
 const STEP_MS: Millis = 5;
@@ -76,7 +76,7 @@
     call: CallId,
 }
 
-struct WaitingHold {
+struct LongPoll {
     pending: Pending,
     target: usize,
     id: Name,
@@ -112,7 +112,7 @@
         pending: Pending,
         target: usize,
         id: Name,
-        fence: u64,
+        token: u64,
         order: TargetCall,
         lost: bool,
     },
@@ -145,10 +145,10 @@
     targets: Vec<Target>,
     lives: u64,
     calls: HashSet<(usize, u64, CallId)>,
-    holds: Vec<WaitingHold>,
+    renewals: Vec<LongPoll>,
     callers: Vec<Caller>,
-    tokens: u64,
-    rooms: HashMap<Name, (Room, Millis)>,
+    request_ids: u64,
+    resources: HashMap<Name, (Resources, Millis)>,
     cut_peers: BTreeMap<usize, u32>,
     cut_targets: BTreeMap<usize, u32>,
     cut_halls: BTreeMap<usize, u32>,
@@ -178,10 +178,10 @@
             targets: Vec::new(),
             lives: 0,
             calls: HashSet::new(),
-            holds: Vec::new(),
+            renewals: Vec::new(),
             callers: Vec::new(),
-            tokens: 0,
-            rooms: HashMap::new(),
+            request_ids: 0,
+            resources: HashMap::new(),
             cut_peers: BTreeMap::new(),
             cut_targets: BTreeMap::new(),
             cut_halls: BTreeMap::new(),
@@ -283,10 +283,10 @@
                 pending,
                 target,
                 id,
-                fence,
+                token,
                 order,
                 lost,
-            } => self.target_called(pending, target, &id, fence, order, lost),
+            } => self.target_called(pending, target, &id, token, order, lost),
             Happening::TargetReply { pending, reply } => {
                 let event = |call| Event::TargetReply {
                     call,
@@ -354,9 +354,9 @@
 
     fn perform(&mut self, host: usize, action: Action) {
         match action {
-            Action::Answer { token, answer } => self.answer(host, token.0, &answer),
-            Action::Reply { token, reply } => {
-                if let Some(pending) = self.hosts[host].peers.remove(&token.0) {
+            Action::Answer { request_id, answer } => self.answer(host, request_id.0, &answer),
+            Action::Reply { request_id, reply } => {
+                if let Some(pending) = self.hosts[host].peers.remove(&request_id.0) {
                     if !self.peers_cut(host, pending.host) && !self.is_lossy() {
                         let at = self.now + self.trip();
                         self.at(at, Happening::Reply { pending, reply });
@@ -376,16 +376,16 @@
                 call,
                 id,
                 address,
-                fence,
+                token,
                 order,
                 wait_ms,
             } => {
                 let target = address.parse().expect("addresses are numbers here");
-                self.call_target(host, call, target, id, fence, order, wait_ms);
+                self.call_target(host, call, target, id, token, order, wait_ms);
             }
-            Action::Note(note) => {
+            Action::Record(decision) => {
                 if self.scenario.verbose {
-                    println!("{:6} host-{host} {note:?}", self.now);
+                    println!("{:6} host-{host} {decision:?}", self.now);
                 }
             }
             Action::Stopped => self.die(host, 100),
--- a/crates/dispatcher-sim/src/world/network.rs
+++ b/crates/dispatcher-sim/src/world/network.rs
@@ -50,13 +50,20 @@
     }
 
     pub(super) fn peer_called(&mut self, pending: Pending, to: usize, envelope: Box<Envelope>) {
-        self.tokens += 1;
-        let token = self.tokens;
+        self.request_ids += 1;
+        let request_id = self.request_ids;
         let there = &mut self.hosts[to];
         let life = there.life;
-        there.peers.insert(token, pending);
-        let token = Token(token);
-        self.give(to, life, Event::Peer { token, envelope });
+        there.peers.insert(request_id, pending);
+        let request_id = RequestId(request_id);
+        self.give(
+            to,
+            life,
+            Event::Peer {
+                request_id,
+                envelope,
+            },
+        );
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one action")]
@@ -66,7 +73,7 @@
         call: CallId,
         target: usize,
         id: Name,
-        fence: u64,
+        token: u64,
         order: TargetCall,
         wait_ms: Millis,
     ) {
@@ -102,7 +109,7 @@
                 pending,
                 target,
                 id,
-                fence,
+                token,
                 order,
                 lost,
             },
@@ -114,7 +121,7 @@
         pending: Pending,
         index: usize,
         id: &Name,
-        fence: u64,
+        token: u64,
         order: TargetCall,
         lost: bool,
     ) {
@@ -124,30 +131,30 @@
             return;
         }
         if target.entry.id != *id {
-            self.target_replies(pending, lost, TargetReply::OtherLife);
+            self.target_replies(pending, lost, TargetReply::WrongIncarnation);
             return;
         }
         let now = self.now;
         let reply = match order {
-            TargetCall::Start(order) => self.start(index, fence, &order),
+            TargetCall::Start(order) => self.start(index, token, &order),
             TargetCall::Stop(key) => {
-                let (reply, ended) = target.stop(now, fence, &key);
+                let (reply, ended) = target.stop(now, token, &key);
                 if let Some(ended) = ended {
-                    self.checks.ended(id, &ended.key, ended.how);
+                    self.checks.ended(id, &ended.key, ended.outcome);
                 }
                 reply
             }
-            TargetCall::Hold {
+            TargetCall::Renew {
                 until,
-                noted,
+                acknowledged,
                 wait_ms,
             } => {
-                if !target.hold(now, fence, until, noted) {
+                if !target.target_lease(now, token, until, acknowledged) {
                     let clock = target.clock(now) as Millis;
-                    TargetReply::Fenced { clock }
+                    TargetReply::StaleToken { clock }
                 } else if target.ended.is_empty() && wait_ms > 0 {
                     if !lost {
-                        self.holds.push(WaitingHold {
+                        self.renewals.push(LongPoll {
                             pending,
                             target: index,
                             id: id.clone(),
@@ -170,18 +177,18 @@
         }
     }
 
-    pub(super) fn start(&mut self, index: usize, fence: u64, order: &RunOrder) -> TargetReply {
+    pub(super) fn start(&mut self, index: usize, token: u64, order: &StartOrder) -> TargetReply {
         let now = self.now;
         let job = order.key.task.split('.').next().unwrap_or_default();
-        let (room, estimate) = self.rooms[job];
+        let (resources, estimate) = self.resources[job];
         let spread: f64 = self.rng.random_range(-1.0..1.0) + self.rng.random_range(-0.5..0.5);
-        let run = Run {
-            room,
+        let attempt = Attempt {
+            resources,
             left_ms: estimate as f64 * (spread * 0.5).exp(),
             fails: self.rng.random_bool(0.002),
         };
         let target = &mut self.targets[index];
-        let (reply, begun) = target.start(now, fence, order, run);
+        let (reply, begun) = target.start(now, token, order, attempt);
         if begun {
             let id = target.entry.id.clone();
             let over = target.used_cpu() > target.entry.capacity.cpu;
@@ -206,7 +213,7 @@
         let ends = self.targets[index].advance(self.now);
         let id = self.targets[index].entry.id.clone();
         for ended in ends {
-            self.checks.ended(&id, &ended.key, ended.how);
+            self.checks.ended(&id, &ended.key, ended.outcome);
         }
     }
 
@@ -214,15 +221,15 @@
         for index in 0..self.targets.len() {
             self.advance(index);
         }
-        let holds = std::mem::take(&mut self.holds);
-        for hold in holds {
-            let target = &self.targets[hold.target];
-            let same = target.up && target.entry.id == hold.id;
-            if same && target.ended.is_empty() && hold.until > self.now {
-                self.holds.push(hold);
-            } else if same && !self.target_cut(hold.pending.host, hold.target) {
+        let renewals = std::mem::take(&mut self.renewals);
+        for target_lease in renewals {
+            let target = &self.targets[target_lease.target];
+            let same = target.up && target.entry.id == target_lease.id;
+            if same && target.ended.is_empty() && target_lease.until > self.now {
+                self.renewals.push(target_lease);
+            } else if same && !self.target_cut(target_lease.pending.host, target_lease.target) {
                 let reply = target.listing(self.now);
-                self.target_replies(hold.pending, false, reply);
+                self.target_replies(target_lease.pending, false, reply);
             }
         }
         self.at(self.now + STEP_MS, Happening::Step);
--- a/crates/dispatcher-sim/src/world/trouble.rs
+++ b/crates/dispatcher-sim/src/world/trouble.rs
@@ -170,10 +170,10 @@
         let target = &mut self.targets[index];
         target.up = false;
         let id = target.entry.id.clone();
-        let keys: Vec<_> = target.runs.keys().cloned().collect();
+        let keys: Vec<_> = target.attempts.keys().cloned().collect();
         for key in keys {
-            let how = gannetridge_dispatcher_core::event::ListedHow::Ended;
-            self.checks.ended(&id, &key, how);
+            let outcome = gannetridge_dispatcher_core::event::ListedOutcome::Ended;
+            self.checks.ended(&id, &key, outcome);
         }
         self.at(self.now + LAPSE_MS, Happening::Lapse(id));
         self.at(self.now + length, Happening::NewTarget(index));
--- a/crates/dispatcher-sim/tests/promises.rs
+++ b/crates/dispatcher-sim/tests/promises.rs
@@ -1,7 +1,7 @@
 //! The short form of the randomised runs.
 
 use gannetridge_dispatcher_core::Safeguards;
-use gannetridge_dispatcher_sim::{run, Scenario};
+use gannetridge_dispatcher_sim::{attempt, Scenario};
 
 /// Seeds that once found a broken promise; the commits tell which.
 const FOUND: [u64; 4] = [3, 11, 25, 26];
@@ -76,13 +76,21 @@
 
 /// Each mechanism, how it is taken out, and the promise that is then broken.
 const MUTANTS: [(&str, Remove, &str); 7] = [
-    ("vouches", |s| s.vouches_lapse = false, "twice"),
-    ("settling", |s| s.newcomers_settle = false, "room"),
-    ("lost runs", |s| s.lost_runs_are_waited_for = false, "twice"),
+    ("vouches", |s| s.owner_leases_expire = false, "twice"),
+    ("settling", |s| s.new_holders_settle = false, "room"),
+    (
+        "lost runs",
+        |s| s.lost_attempts_are_waited_for = false,
+        "twice",
+    ),
     ("doubt", |s| s.starts_are_doubted = false, "twice"),
     ("leaving", |s| s.leaving_is_heeded = false, "drain"),
     ("begun", |s| s.begun_is_not_refused = false, "refused"),
-    ("silence", |s| s.silent_runs_are_waited_for = false, "twice"),
+    (
+        "silence",
+        |s| s.silent_attempts_are_waited_for = false,
+        "twice",
+    ),
 ];
 
 #[test]
--- a/crates/dispatcher/src/core_task.rs
+++ b/crates/dispatcher/src/core_task.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use gannetridge_dispatcher_core::message::{Envelope, Reply};
-use gannetridge_dispatcher_core::{Action, Answer, Dispatcher, Event, Millis, SendFailure, Token};
+use gannetridge_dispatcher_core::{
+    Action, Answer, Dispatcher, Event, Millis, RequestId, SendFailure,
+};
 use gannetridge_net::Client;
 use local_sync::{mpsc::unbounded, oneshot};
 use monoio::time::timeout;
@@ -14,25 +16,25 @@
 use crate::caller_api::Stopping;
 use crate::decision_log;
 use crate::metrics::Metrics;
-use crate::outside::{Outside, TargetOrder};
 use crate::peer_api;
+use crate::platform_client::{PlatformClient, TargetOrder};
 use crate::process::Reloader;
 use crate::signals::Signals;
-use crate::traffic::{Traffic, Way};
+use crate::traffic::{Direction, Traffic};
 
 /// A look at the dispatcher.
-pub type Look = Box<dyn FnOnce(&Dispatcher, &Metrics)>;
+pub type Inspection = Box<dyn FnOnce(&Dispatcher, &Metrics)>;
 
 /// What other tasks send to the task that owns the dispatcher.
 pub enum Message {
     /// A caller's request.
-    Caller(Event, Token, oneshot::Sender<Answer>),
+    Caller(Event, RequestId, oneshot::Sender<Answer>),
     /// A peer's request.
-    Peer(Box<Envelope>, Token, oneshot::Sender<Box<Reply>>),
+    Peer(Box<Envelope>, RequestId, oneshot::Sender<Box<Reply>>),
     /// Something else that happened.
     Event(Event),
     /// A look at the dispatcher.
-    Look(Look),
+    Inspection(Inspection),
 }
 
 /// Sends messages to the task that owns the dispatcher.
@@ -51,7 +53,7 @@
     /// Calls peers.
     pub peers: Client,
     /// The platform.
-    pub outside: Outside,
+    pub platform_client: PlatformClient,
     /// The metrics.
     pub metrics: Metrics,
     /// Counts messages.
@@ -65,9 +67,9 @@
     /// Counts log lines that were dropped.
     pub log_dropped: ErrorCounter,
     /// Requests of callers that wait.
-    pub callers: HashMap<Token, oneshot::Sender<Answer>>,
+    pub callers: HashMap<RequestId, oneshot::Sender<Answer>>,
     /// Requests of peers that wait.
-    pub waiting_peers: HashMap<Token, oneshot::Sender<Box<Reply>>>,
+    pub waiting_peers: HashMap<RequestId, oneshot::Sender<Box<Reply>>>,
     /// Whether the dispatcher has nothing left to do.
     pub stopped: bool,
 }
@@ -112,26 +114,29 @@
 
     fn on_message(&mut self, message: Message) {
         match message {
-            Message::Caller(event, token, tx) => {
-                self.traffic.count(Way::FromCaller, event.kind());
-                self.callers.insert(token, tx);
+            Message::Caller(event, request_id, tx) => {
+                self.traffic.count(Direction::FromCaller, event.kind());
+                self.callers.insert(request_id, tx);
                 self.handle(event);
             }
-            Message::Peer(envelope, token, tx) => {
+            Message::Peer(envelope, request_id, tx) => {
                 let kind = envelope.request.kind();
-                self.traffic.count(Way::FromPeer, kind);
-                self.waiting_peers.insert(token, tx);
-                self.handle(Event::Peer { token, envelope });
+                self.traffic.count(Direction::FromPeer, kind);
+                self.waiting_peers.insert(request_id, tx);
+                self.handle(Event::Peer {
+                    request_id,
+                    envelope,
+                });
                 // A request that is passed over has no reply.
-                self.waiting_peers.remove(&token);
+                self.waiting_peers.remove(&request_id);
             }
             Message::Event(event) => {
-                if let Event::CallerGone { token } = &event {
-                    self.callers.remove(token);
+                if let Event::CallerGone { request_id } = &event {
+                    self.callers.remove(request_id);
                 }
                 self.handle(event);
             }
-            Message::Look(look) => {
+            Message::Inspection(look) => {
                 let now = self.now();
                 let dropped = self.log_dropped.dropped_lines() as u64;
                 self.traffic.publish();
@@ -152,13 +157,13 @@
     // passed over below.
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Answer { token, answer } => {
-                if let Some(tx) = self.callers.remove(&token) {
+            Action::Answer { request_id, answer } => {
+                if let Some(tx) = self.callers.remove(&request_id) {
                     let _ = tx.send(answer);
                 }
             }
-            Action::Reply { token, reply } => {
-                if let Some(tx) = self.waiting_peers.remove(&token) {
+            Action::Reply { request_id, reply } => {
+                if let Some(tx) = self.waiting_peers.remove(&request_id) {
                     let _ = tx.send(reply);
                 }
             }
@@ -168,7 +173,8 @@
                 envelope,
                 wait_ms,
             } => {
-                self.traffic.count(Way::ToPeer, envelope.request.kind());
+                self.traffic
+                    .count(Direction::ToPeer, envelope.request.kind());
                 let (client, tx) = (self.peers.clone(), self.tx.clone());
                 monoio::spawn(async move {
                     let reply = peer_api::call(&client, address, &envelope, wait_ms).await;
@@ -179,17 +185,17 @@
                 call,
                 id,
                 address,
-                fence,
+                token,
                 order,
                 wait_ms,
             } => {
-                self.traffic.count(Way::ToTarget, order.kind());
+                self.traffic.count(Direction::ToTarget, order.kind());
                 let tx = self.tx.clone();
                 let calling = address.parse().ok().map(|address| {
-                    (self.outside.call_target)(TargetOrder {
+                    (self.platform_client.call_target)(TargetOrder {
                         id,
                         address,
-                        fence,
+                        token,
                         call: order,
                         wait_ms,
                     })
@@ -202,7 +208,7 @@
                     let _ = tx.send(Message::Event(Event::TargetReply { call, reply }));
                 });
             }
-            Action::Note(note) => {
+            Action::Record(note) => {
                 decision_log::write(&note);
                 self.metrics.note(&note);
             }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -2,7 +2,7 @@
 //! the platform's store, logs and metrics.
 //!
 //! What the platform is like, this crate doesn't know: it is given an
-//! [`outside::Outside`] that makes each call once, as it is told. Tasks own
+//! [`platform_client::PlatformClient`] that makes each call once, as it is told. Tasks own
 //! their sockets and talk to the one that owns the dispatcher by messages.
 
 pub mod caller_api;
@@ -10,8 +10,8 @@
 pub mod decision_log;
 pub mod logging;
 pub mod metrics;
-pub mod outside;
 pub mod peer_api;
+pub mod platform_client;
 pub mod process;
 pub mod settings;
 pub mod signals;
--- a/crates/dispatcher/src/metrics.rs
+++ b/crates/dispatcher/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters, gauges and latency histograms.
 
-use gannetridge_dispatcher_core::message::End;
-use gannetridge_dispatcher_core::note::Cause;
-use gannetridge_dispatcher_core::{Dispatcher, Millis, Note};
+use gannetridge_dispatcher_core::decision::Cause;
+use gannetridge_dispatcher_core::message::AttemptOutcome;
+use gannetridge_dispatcher_core::{Decision, Dispatcher, Millis};
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter, MeterProvider};
 use opentelemetry::KeyValue;
 use opentelemetry_sdk::metrics::SdkMeterProvider;
@@ -97,13 +97,13 @@
     }
 
     /// Counts what a host notes.
-    pub fn note(&self, note: &Note) {
+    pub fn note(&self, note: &Decision) {
         match note {
-            Note::JobEnded {
+            Decision::JobEnded {
                 queue,
                 cause,
                 took_ms,
-                aim_ms,
+                objective_ms,
                 ..
             } => {
                 let labels = [
@@ -115,14 +115,14 @@
                     let took = *took_ms as f64;
                     self.took.record(took, &labels[..1]);
                     self.over_aim
-                        .record(took / (*aim_ms).max(1) as f64, &labels[..1]);
+                        .record(took / (*objective_ms).max(1) as f64, &labels[..1]);
                 }
             }
-            Note::JobRejected { reason, .. } => {
+            Decision::JobRejected { reason, .. } => {
                 self.rejected.add(1, &[KeyValue::new("reason", *reason)]);
             }
-            Note::Started { .. } => self.starts.add(1, &[]),
-            Note::RunEnded {
+            Decision::Started { .. } => self.starts.add(1, &[]),
+            Decision::RunEnded {
                 end, by, took_ms, ..
             } => {
                 let labels = [
@@ -132,16 +132,16 @@
                 self.ends.add(1, &labels);
                 self.run_took.record(*took_ms as f64, &labels[..1]);
             }
-            Note::Asked { tasks, .. } => self.asked.add(*tasks as u64, &[]),
-            Note::Stopping { reason, .. } => {
+            Decision::Asked { tasks, .. } => self.asked.add(*tasks as u64, &[]),
+            Decision::Stopping { reason, .. } => {
                 self.stops.add(1, &[KeyValue::new("reason", *reason)]);
             }
-            Note::Queues { version, .. } => self.version.record(*version, &[]),
-            Note::Store { reachable } => self.store.record(u64::from(*reachable), &[]),
-            Note::JobTaken { .. }
-            | Note::Target { .. }
-            | Note::Peer { .. }
-            | Note::SessionLost { .. } => {}
+            Decision::Queues { version, .. } => self.version.record(*version, &[]),
+            Decision::Store { reachable } => self.store.record(u64::from(*reachable), &[]),
+            Decision::JobTaken { .. }
+            | Decision::Target { .. }
+            | Decision::Peer { .. }
+            | Decision::SessionLost { .. } => {}
         }
     }
 
@@ -170,11 +170,11 @@
 
 /// Returns the name that logs and metrics use for an end.
 #[must_use]
-pub fn end_name(end: End) -> &'static str {
+pub fn end_name(end: AttemptOutcome) -> &'static str {
     match end {
-        End::Done => "done",
-        End::Failed => "failed",
-        End::Lost => "lost",
-        End::Outnumbered => "outnumbered",
+        AttemptOutcome::Done => "done",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::Lost => "lost",
+        AttemptOutcome::StaleAttempt => "outnumbered",
     }
 }
--- a/crates/dispatcher/src/peer_api.rs
+++ b/crates/dispatcher/src/peer_api.rs
@@ -11,14 +11,14 @@
 use local_sync::oneshot;
 use tracing::warn;
 
-use crate::caller_api::Tokens;
+use crate::caller_api::RequestIds;
 use crate::core_task::{Message, Sender};
 
 const PATH: &str = "/dispatch/v1";
 const MEDIA_TYPE: &str = "application/msgpack";
 
 /// Handles one request of a peer.
-pub async fn handle(tx: Sender, tokens: Tokens, req: HttpRequest) -> HttpReply {
+pub async fn handle(tx: Sender, request_ids: RequestIds, req: HttpRequest) -> HttpReply {
     let envelope: Envelope = match codec::decode(&req.body) {
         Ok(envelope) if req.path == PATH => envelope,
         Ok(_) => return HttpReply::problem(StatusCode::NOT_FOUND, "no-such-path", "No such path"),
@@ -29,7 +29,11 @@
         }
     };
     let (reply_tx, reply_rx) = oneshot::channel();
-    let sent = tx.send(Message::Peer(Box::new(envelope), tokens.next(), reply_tx));
+    let sent = tx.send(Message::Peer(
+        Box::new(envelope),
+        request_ids.next(),
+        reply_tx,
+    ));
     let encoded = match (sent, reply_rx.await) {
         (Ok(()), Ok(reply)) => codec::encode(&*reply).ok(),
         _ => None,
--- a/crates/dispatcher/src/outside.rs
+++ b/crates/dispatcher/src/platform_client.rs
@@ -47,7 +47,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// The keeper's token.
-    pub fence: u64,
+    pub token: u64,
     /// What is asked.
     pub call: TargetCall,
     /// How long to wait for the reply.
@@ -130,7 +130,7 @@
 
 /// The platform, as typed calls.
 #[derive(Clone)]
-pub struct Outside {
+pub struct PlatformClient {
     /// See [`ReadCaller`].
     pub read_caller: ReadCaller,
     /// Words an answer.
--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -14,12 +14,12 @@
 use monoio::net::TcpListener;
 use tracing::{info, warn};
 
-use crate::caller_api::{self, Stopping, Tokens};
+use crate::caller_api::{self, RequestIds, Stopping};
 use crate::core_task::{CoreTask, Message, Sender};
 use crate::logging;
 use crate::metrics::Metrics;
-use crate::outside::{Outside, Table};
 use crate::peer_api;
+use crate::platform_client::{PlatformClient, Table};
 use crate::settings::Settings;
 use crate::signals::Signals;
 use crate::store_task::{announce, follow, pause_between_reads, Reachable};
@@ -83,7 +83,11 @@
 /// # Errors
 ///
 /// Fails if the settings can't work or an address can't be bound.
-pub async fn run(path: &Path, settings: Settings, outside: Outside) -> anyhow::Result<()> {
+pub async fn run(
+    path: &Path,
+    settings: Settings,
+    platform_client: PlatformClient,
+) -> anyhow::Result<()> {
     let log = logging::start(&settings.log)?;
     let started = Instant::now();
     let epoch = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -93,7 +97,7 @@
         address: settings.peers,
         hall: settings.hall.clone(),
         incarnation: epoch_ms,
-        power: settings.processor.power(),
+        processor_weight: settings.processor.weight(),
         seeds: settings.seeds.clone(),
         bounds: settings.bounds.bounds(),
         epoch_ms,
@@ -103,14 +107,15 @@
     let (tx, rx) = unbounded::channel();
     let signals = Signals::listen()?;
     let stopping = Stopping::default();
-    serve_all(&settings, &outside, &tx, &stopping)?;
+    serve_all(&settings, &platform_client, &tx, &stopping)?;
     let reachable = Reachable::new(tx.clone());
     for table in [Table::Configuration, Table::Targets, Table::Hosts] {
-        let (outside, tx, reachable) = (outside.clone(), tx.clone(), reachable.clone());
+        let (platform_client, tx, reachable) =
+            (platform_client.clone(), tx.clone(), reachable.clone());
         let between = pause_between_reads(table, settings.bounds.bounds().drain_ms);
-        monoio::spawn(follow(outside, table, between, tx, reachable));
+        monoio::spawn(follow(platform_client, table, between, tx, reachable));
     }
-    monoio::spawn(announce(outside.clone(), info));
+    monoio::spawn(announce(platform_client.clone(), info));
     info!(
         event = "started",
         name = %settings.name,
@@ -126,7 +131,7 @@
         rx,
         tx,
         peers: Client::new(client_limits()),
-        outside,
+        platform_client,
         traffic: Traffic::new(&metrics.meter()),
         metrics,
         stopping,
@@ -154,30 +159,30 @@
 
 fn serve_all(
     settings: &Settings,
-    outside: &Outside,
+    platform_client: &PlatformClient,
     tx: &Sender,
     stopping: &Stopping,
 ) -> anyhow::Result<()> {
-    let tokens = Tokens::default();
+    let request_ids = RequestIds::default();
     let peers = listen(settings.peers_bind.unwrap_or(settings.peers))?;
-    let (peer_tx, peer_tokens) = (tx.clone(), tokens.clone());
+    let (peer_tx, peer_tokens) = (tx.clone(), request_ids.clone());
     monoio::spawn(serve(peers, ServerLimits::default(), move |req| {
         peer_api::handle(peer_tx.clone(), peer_tokens.clone(), req)
     }));
     let callers = listen(settings.callers)?;
-    let (caller_tx, caller_outside) = (tx.clone(), outside.clone());
+    let (caller_tx, caller_outside) = (tx.clone(), platform_client.clone());
     let stopping = stopping.clone();
     monoio::spawn(serve(callers, ServerLimits::default(), move |req| {
         caller_api::handle(
             caller_tx.clone(),
-            tokens.clone(),
+            request_ids.clone(),
             stopping.clone(),
             caller_outside.clone(),
             req,
         )
     }));
     let readiness = listen(settings.readiness)?;
-    let (ready_tx, path) = (tx.clone(), outside.readiness_path);
+    let (ready_tx, path) = (tx.clone(), platform_client.readiness_path);
     monoio::spawn(serve(readiness, ServerLimits::default(), move |req| {
         ready(ready_tx.clone(), path, req)
     }));
@@ -227,7 +232,7 @@
         // Whoever asked may be gone.
         let _ = reply_tx.send(make(dispatcher, metrics));
     };
-    let sent = tx.send(Message::Look(Box::new(look)));
+    let sent = tx.send(Message::Inspection(Box::new(look)));
     match (sent, reply_rx.await) {
         (Ok(()), Ok(reply)) => reply,
         _ => HttpReply::problem(StatusCode::SERVICE_UNAVAILABLE, "stopping", "Stopping"),
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -76,7 +76,7 @@
     pub fn bounds(&self) -> Bounds {
         Bounds {
             retransmit_ms: self.retransmit_ms,
-            max_hold_ms: self.max_hold_ms,
+            max_target_lease_ms: self.max_hold_ms,
             stop_grace_ms: self.stop_grace_ms,
             grace_period_ms: (self.grace_period_s * 1_000.0) as u64,
             drain_ms: self.drain_ms,
@@ -107,7 +107,7 @@
 impl ProcessorSettings {
     /// Returns it in thousandths of a core.
     #[must_use]
-    pub fn power(&self) -> u32 {
+    pub fn weight(&self) -> u32 {
         (self.share * self.speed * 1_000.0) as u32
     }
 }
--- a/crates/dispatcher/src/store_task.rs
+++ b/crates/dispatcher/src/store_task.rs
@@ -9,7 +9,7 @@
 use tracing::{info, warn};
 
 use crate::core_task::{Message, Sender};
-use crate::outside::{Outside, Row, Rows, StoreError, Table};
+use crate::platform_client::{PlatformClient, Row, Rows, StoreError, Table};
 
 /// How long the store may wait for a change before it answers: a store that
 /// falls silent meanwhile is noticed only after that.
@@ -130,7 +130,7 @@
 ///
 /// `between` is the time between two reads that went well.
 pub async fn follow(
-    outside: Outside,
+    platform_client: PlatformClient,
     table: Table,
     between: Duration,
     tx: Sender,
@@ -141,8 +141,10 @@
     loop {
         let next = progress.next();
         let read = match next {
-            Read::Whole => (outside.read_table)(table).await,
-            Read::Changes { after, wait_ms } => (outside.follow_table)(table, after, wait_ms).await,
+            Read::Whole => (platform_client.read_table)(table).await,
+            Read::Changes { after, wait_ms } => {
+                (platform_client.follow_table)(table, after, wait_ms).await
+            }
         };
         match read {
             Ok(rows) => {
@@ -199,10 +201,10 @@
 }
 
 /// Writes this host's row, so that others find it.
-pub async fn announce(outside: Outside, info: HostInfo) {
+pub async fn announce(platform_client: PlatformClient, info: HostInfo) {
     let mut pause = Pause(RETRY_MS.0);
     loop {
-        match (outside.write_host)(info.clone()).await {
+        match (platform_client.write_host)(info.clone()).await {
             Ok(()) => {
                 pause.reset();
                 monoio::time::sleep(WRITE_AGAIN).await;
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -13,7 +13,7 @@
 
 /// Which way a message went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum Direction {
     /// A request to a peer.
     ToPeer,
     /// A request of a peer.
@@ -24,7 +24,7 @@
     FromCaller,
 }
 
-impl Way {
+impl Direction {
     fn as_str(self) -> &'static str {
         match self {
             Self::ToPeer => "to-peer",
@@ -38,7 +38,7 @@
 /// Counts messages; tells the log from time to time how many there were.
 pub struct Traffic {
     metric: Counter<u64>,
-    counts: BTreeMap<(Way, &'static str), Count>,
+    counts: BTreeMap<(Direction, &'static str), Count>,
     /// By how much timers were late since the last log line, and how many.
     late_ms: Millis,
     latest_ms: Millis,
@@ -68,7 +68,7 @@
     }
 
     /// Counts one message.
-    pub fn count(&mut self, way: Way, kind: &'static str) {
+    pub fn count(&mut self, way: Direction, kind: &'static str) {
         self.counts.entry((way, kind)).or_default().total += 1;
     }
 
@@ -107,7 +107,7 @@
     }
 }
 
-struct Shown<'a>(&'a BTreeMap<(Way, &'static str), Count>);
+struct Shown<'a>(&'a BTreeMap<(Direction, &'static str), Count>);
 
 impl fmt::Display for Shown<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -1,6 +1,6 @@
 //! How the platform's tables are read.
 
-use gannetridge_dispatcher::outside::{StoreError, Table};
+use gannetridge_dispatcher::platform_client::{StoreError, Table};
 use gannetridge_dispatcher::store_task::{pause_between_reads, Progress, Read};
 
 macro_rules! case {
--- a/crates/dispatcher/tests/told.rs
+++ b/crates/dispatcher/tests/told.rs
@@ -6,10 +6,10 @@
 
 use gannetridge_dispatcher::decision_log;
 use gannetridge_dispatcher::metrics::Metrics;
-use gannetridge_dispatcher::traffic::{Traffic, Way};
-use gannetridge_dispatcher_core::message::{End, RunKey};
-use gannetridge_dispatcher_core::note::Cause;
-use gannetridge_dispatcher_core::{Bounds, Dispatcher, Note, Safeguards, Settings};
+use gannetridge_dispatcher::traffic::{Direction, Traffic};
+use gannetridge_dispatcher_core::decision::Cause;
+use gannetridge_dispatcher_core::message::{AttemptId, AttemptOutcome};
+use gannetridge_dispatcher_core::{Bounds, Decision, Dispatcher, Safeguards, Settings};
 use serde_json::Value;
 
 /// Collects what is written to the log.
@@ -27,27 +27,27 @@
     }
 }
 
-fn key() -> RunKey {
-    RunKey {
+fn key() -> AttemptId {
+    AttemptId {
         task: "0123456789abcdef.0.1.2".into(),
-        run: 3,
+        attempt: 3,
     }
 }
 
-fn job_ended(cause: Cause) -> Note {
-    Note::JobEnded {
+fn job_ended(cause: Cause) -> Decision {
+    Decision::JobEnded {
         job: "0123456789abcdef".into(),
         queue: "queue-1".into(),
         cause,
         done: 2,
         starts: 4,
         took_ms: 310,
-        aim_ms: 400,
+        objective_ms: 400,
     }
 }
 
-fn run_ended(end: End) -> Note {
-    Note::RunEnded {
+fn run_ended(end: AttemptOutcome) -> Decision {
+    Decision::RunEnded {
         key: key(),
         target: "target-7".into(),
         end,
@@ -56,58 +56,58 @@
     }
 }
 
-fn notes() -> Vec<Note> {
+fn notes() -> Vec<Decision> {
     let mut notes = vec![
-        Note::JobTaken {
+        Decision::JobTaken {
             job: "0123456789abcdef".into(),
             queue: "queue-1".into(),
             tasks: 4,
-            aim_ms: 400,
+            objective_ms: 400,
             deadline_ms: 2_500,
             version: 12,
         },
-        Note::JobRejected {
+        Decision::JobRejected {
             path: "/q/0123456789abcdef".into(),
             reason: "stopping",
             version: 12,
         },
-        Note::Asked {
+        Decision::Asked {
             peer: "host-b".into(),
             first: key(),
             tasks: 3,
             age_ms: 17,
         },
-        Note::Started {
+        Decision::Started {
             key: key(),
             target: "target-7".into(),
             owner: "host-a".into(),
             left_cpu: 300,
         },
-        Note::Stopping {
+        Decision::Stopping {
             key: key(),
             target: "target-7".into(),
             reason: "overrun",
         },
-        Note::Target {
+        Decision::Target {
             target: "target-7".into(),
             state: "silent",
             by: "hold",
         },
-        Note::Peer {
+        Decision::Peer {
             peer: "host-b".into(),
             state: "silent",
             silent_ms: 600,
         },
-        Note::SessionLost {
+        Decision::SessionLost {
             peer: "host-b".into(),
-            runs: 2,
+            attempts: 2,
             over_in_ms: 900,
         },
-        Note::Queues {
+        Decision::Queues {
             version: 12,
             from: "store",
         },
-        Note::Store { reachable: false },
+        Decision::Store { reachable: false },
     ];
     let causes = [
         Cause::Done,
@@ -120,7 +120,12 @@
         Cause::Stopping,
     ];
     notes.extend(causes.map(job_ended));
-    let ends = [End::Done, End::Failed, End::Lost, End::Outnumbered];
+    let ends = [
+        AttemptOutcome::Done,
+        AttemptOutcome::Failed,
+        AttemptOutcome::Lost,
+        AttemptOutcome::StaleAttempt,
+    ];
     notes.extend(ends.map(run_ended));
     notes
 }
@@ -157,11 +162,11 @@
         address,
         hall: "hall-a".into(),
         incarnation: 1,
-        power: 1_000,
+        processor_weight: 1_000,
         seeds: vec![address],
         bounds: Bounds {
             retransmit_ms: 1_300,
-            max_hold_ms: 1_000,
+            max_target_lease_ms: 1_000,
             stop_grace_ms: 50,
             grace_period_ms: 6_000,
             drain_ms: 2_000,
@@ -179,7 +184,12 @@
     for note in notes() {
         metrics.note(&note);
     }
-    for way in [Way::ToPeer, Way::FromPeer, Way::ToTarget, Way::FromCaller] {
+    for way in [
+        Direction::ToPeer,
+        Direction::FromPeer,
+        Direction::ToTarget,
+        Direction::FromCaller,
+    ] {
         traffic.count(way, "kind");
     }
     traffic.publish();
