--- a/crates/dispatcher-sim/tests/promises.rs
+++ b/crates/dispatcher-sim/tests/promises.rs
@@ -1,7 +1,7 @@
 //! The short form of the randomised runs.
 
 use gannetridge_dispatcher_core::Safeguards;
-use gannetridge_dispatcher_sim::{attempt, Scenario};
+use gannetridge_dispatcher_sim::{run, Scenario};
 
 /// Seeds that once found a broken promise; the commits tell which.
 const FOUND: [u64; 4] = [3, 11, 25, 26];
