--- a/crates/dispatcher-core/src/action.rs
+++ b/crates/dispatcher-core/src/action.rs
@@ -1,4 +1,4 @@
-//! What a host wants done.
+//! What a host wants done. Whoever carries an action out decides nothing more.
 
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
     NoQueue,
     /// There is no such job.
     NoJob,
-    /// The job can't be taken.
+    /// The job can't be accepted.
     Bad(JobError),
     /// The job runs.
     Running,
@@ -45,12 +45,11 @@
 /// A task to be started on a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// The task and its run.
+    /// The attempt.
     pub id: AttemptId,
-    /// What the task is told.
+    /// What the task is given to work on.
     pub specification: Name,
-    /// The latest time to begin, and the end of the target's hold, on the
-    /// target's clock.
+    /// The start deadline, and the end of the target's lease, on the target's clock.
     pub until: Millis,
 }
 
@@ -59,15 +58,15 @@
 pub enum TargetCall {
     /// Start a task.
     Start(StartOrder),
-    /// End a run.
+    /// Stop an attempt.
     Stop(AttemptId),
-    /// Extend the hold, and list what runs and what has ended.
+    /// Renew the target's lease, and list what runs and what has ended.
     Renew {
-        /// The end of the hold on the target's clock, if it is extended.
+        /// The end of the lease on the target's clock, if it is renewed.
         until: Option<Millis>,
-        /// Ends up to this number have been taken note of.
+        /// Ends up to this number are acknowledged.
         acknowledged: u64,
-        /// How long the target may wait for an end before it answers.
+        /// How long the target may wait for an end before it answers, in ms.
         wait_ms: Millis,
     },
 }
@@ -109,25 +108,25 @@
         address: SocketAddr,
         /// The request.
         envelope: Box<Envelope>,
-        /// How long to wait for the reply.
+        /// How long to wait for the reply, in ms.
         wait_ms: Millis,
     },
     /// Call a target.
     Target {
         /// The call.
         call: CallId,
-        /// The life of the target that is meant.
+        /// The target's id: of the incarnation that is meant.
         id: Name,
         /// The target's address.
         address: Name,
-        /// The keeper's token.
+        /// This host's fencing token.
         token: u64,
         /// What is asked.
         order: TargetCall,
-        /// How long to wait for the reply.
+        /// How long to wait for the reply, in ms.
         wait_ms: Millis,
     },
-    /// Count or log.
+    /// Log and count a decision.
     Record(Decision),
     /// The host has nothing left to do and may end.
     Stopped,
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -18,7 +18,7 @@
 const PEER_WAIT_MS: Millis = 300;
 /// Before a request that had no reply is sent again, in ms. Chosen, not measured.
 pub(super) const RETRY_MS: Millis = 100;
-/// Numbers of calls to peers are told from those to targets by this bit.
+/// Marks the numbers of calls to peers: calls to targets have theirs without it.
 const PEER_CALLS: u64 = 1 << 63;
 
 /// What a call to a peer is for.
@@ -247,8 +247,8 @@
         reply: Result<Reply, SendFailure>,
     ) {
         if let Err(SendFailure::Unknown) = reply {
-            // The tasks may run there: they are stopped, and the end of each is
-            // told, at once of those that never came.
+            // The tasks may run there: they are stopped, and the peer reports the
+            // end of each, at once of those that never came.
             if let Some(peer) = self.peers.get_mut(name) {
                 let stops = ids.iter().cloned();
                 peer.stops
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -167,7 +167,7 @@
         ReplyBody::Placed(started)
     }
 
-    /// Has a peer told that attempts never came, and never will.
+    /// Reports to a peer that attempts never came, and never will.
     fn report_lost(&mut self, name: &Name, ids: Vec<AttemptId>) {
         if let Some(peer) = self.peers.get_mut(name) {
             let ends = ids.into_iter().map(|id| AttemptEnd {
--- a/crates/dispatcher-core/src/dispatcher/timers.rs
+++ b/crates/dispatcher-core/src/dispatcher/timers.rs
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Has a peer told of an end, if it still waits for it.
+    /// Reports an end to a peer, if it still waits for it.
     fn report_to_peer(&mut self, report: EndReport) {
         let Some(peer) = self.peers.get_mut(&report.owner.host) else {
             return;
--- a/crates/dispatcher-core/src/event.rs
+++ b/crates/dispatcher-core/src/event.rs
@@ -1,4 +1,5 @@
-//! What happens to a host.
+//! What happens to a host, as types that name neither the platform's words nor
+//! sockets.
 
 use gannetridge_wire::Name;
 
@@ -7,11 +8,11 @@
 use crate::spec::{JobSpec, Resources};
 use crate::Millis;
 
-/// Stands for a request that the shell has read and will answer.
+/// Names a request that the process has read and will answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Stands for a request that the host has asked the shell to send.
+/// Names a call that the host has asked the process to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -29,7 +30,7 @@
 /// A target as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetEntry {
-    /// The id of this life of the target.
+    /// The target's id; another incarnation has another.
     pub id: Name,
     /// Where it listens.
     pub address: Name,
@@ -37,11 +38,11 @@
     pub hall: Name,
     /// Its pool.
     pub pool: Name,
-    /// What it holds at most.
+    /// The resources that it has.
     pub capacity: Resources,
     /// Its kind, its rack and more.
     pub labels: Vec<Name>,
-    /// Whether it takes no new work.
+    /// Whether it leaves: it gets no new tasks.
     pub leaving: bool,
 }
 
@@ -54,18 +55,18 @@
     Gone(Name),
 }
 
-/// A run as its target lists it.
+/// The end of an attempt as its target lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEnd {
     /// The end's number.
     pub number: u64,
-    /// The run.
+    /// The attempt.
     pub id: AttemptId,
     /// How it ended.
     pub outcome: ListedOutcome,
 }
 
-/// How a target says that a run ended.
+/// How a target says that an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedOutcome {
     /// Done.
@@ -95,29 +96,29 @@
         /// What has ended.
         ended: Vec<ListedEnd>,
     },
-    /// It did nothing: a higher token has been seen.
+    /// It did nothing: it has seen a higher fencing token.
     StaleToken {
         /// The target's clock.
         clock: Millis,
     },
-    /// It did nothing: a run of this or a higher number was there.
+    /// It did nothing: it has seen this or a later attempt of the task.
     StaleAttempt {
         /// The target's clock.
         clock: Millis,
     },
-    /// It did nothing: the order came too late.
+    /// It did nothing: the start deadline has passed.
     StartDeadlinePassed {
         /// The target's clock.
         clock: Millis,
     },
-    /// It did nothing: there is no room.
+    /// It did nothing: it has too few free resources.
     InsufficientResources {
         /// The target's clock.
         clock: Millis,
     },
-    /// It did nothing: it is another life of the target.
+    /// It did nothing: it is another incarnation of the target.
     WrongIncarnation,
-    /// It did nothing, since it isn't well or can't read the order.
+    /// It did nothing, since it is unhealthy or can't read the call.
     Refused {
         /// The status of the reply.
         status: u16,
@@ -131,7 +132,7 @@
     pub host: Name,
     /// The path.
     pub path: Name,
-    /// How long the caller waits for the answer.
+    /// How long the caller waits for the answer, in ms, if it says so.
     pub deadline_ms: Option<Millis>,
     /// The job.
     pub spec: JobSpec,
@@ -156,7 +157,7 @@
         /// The path.
         path: Name,
     },
-    /// A caller takes a job back.
+    /// A caller cancels a job.
     Cancel {
         /// The request.
         request_id: RequestId,
@@ -193,7 +194,7 @@
     },
     /// The list of targets changed.
     TargetsChanged(Vec<TargetChange>),
-    /// The list of targets was read whole.
+    /// The whole list of targets was read.
     TargetsRead(Vec<TargetEntry>),
     /// The platform's store was lost or is back.
     StoreReachable(bool),
--- a/crates/dispatcher-core/src/jobs/waiting.rs
+++ b/crates/dispatcher-core/src/jobs/waiting.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait for targets: their order, and what targets are told of them.
+//! Tasks that wait for targets: their order, and the orders that start them.
 
 use std::cmp::Ordering;
 
--- a/crates/dispatcher-core/src/queues.rs
+++ b/crates/dispatcher-core/src/queues.rs
@@ -5,7 +5,7 @@
 
 use crate::Millis;
 
-/// Aims used where a queue names none.
+/// The extension of queues that name none. Chosen, not measured.
 const DEFAULT_EXTENSION: f64 = 2.0;
 
 /// A queue that callers submit to.
@@ -21,16 +21,18 @@
     pub pool: Name,
     /// 0 is the most urgent.
     pub urgency: u8,
-    /// How often a task may fail.
+    /// How many attempts at a task may fail before its job does; 0 counts as 1.
     pub max_attempts: u32,
-    /// A job's aim is this times its longest task, plus the slack.
+    /// A job's latency objective is this times its longest chain of tasks, plus the
+    /// slack; 0 for the default.
     pub extension: f64,
-    /// See `extension`.
+    /// See `extension`; in ms.
     pub slack_ms: Millis,
 }
 
 impl Queue {
-    /// Returns the aim of a job whose longest chain takes `work_ms`.
+    /// Returns the latency objective, in ms, of a job whose longest chain of tasks
+    /// takes `work_ms`.
     #[must_use]
     pub fn latency_objective(&self, work_ms: Millis) -> Millis {
         let extension = if self.extension > 0.0 {
--- a/crates/dispatcher-core/src/settings.rs
+++ b/crates/dispatcher-core/src/settings.rs
@@ -15,9 +15,9 @@
 pub struct Bounds {
     /// The earliest time after a broken answer at which a caller sends again.
     pub retransmit_ms: Millis,
-    /// The longest hold that a target grants.
+    /// The longest lease that a target grants.
     pub max_target_lease_ms: Millis,
-    /// The longest that a stop of a run takes.
+    /// The longest that a stop of an attempt takes.
     pub stop_grace_ms: Millis,
     /// How long a stop in order of the process may take.
     pub grace_period_ms: Millis,
@@ -25,36 +25,36 @@
     pub drain_ms: Millis,
 }
 
-/// Why the bounds leave no room for safe heartbeats.
+/// Why the bounds leave no time for safe heartbeats.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BoundsError {
-    /// Callers send again sooner than a lost run can be known to be over.
-    #[error("retransmit-ms {retransmit_ms} leaves {left_ms} ms for a vouch, {LEAST_OWNER_LEASE_MS} are needed")]
+    /// Callers send again sooner than a lost attempt can be known to be over.
+    #[error("retransmit-ms {retransmit_ms} leaves {left_ms} ms for an owner lease, {LEAST_OWNER_LEASE_MS} are needed")]
     TooTight {
         /// The bound.
         retransmit_ms: Millis,
-        /// What is left for a vouch.
+        /// What is left for an owner lease, in ms.
         left_ms: Millis,
     },
 }
 
-/// Mechanisms that tests take out one at a time, to show that the checks miss
-/// them. Everywhere else all are there.
+/// Mechanisms that tests take out one at a time, to show that the checks miss them.
+/// Everywhere else all are there; no settings file reaches them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
-    /// A keeper ends the runs of owners that it no longer hears.
+    /// A holder stops the attempts of owners whose lease has expired.
     pub owner_leases_expire: bool,
-    /// A newcomer waits until nothing runs on a target that it doesn't know.
+    /// A new holder starts nothing while attempts run that it doesn't know.
     pub new_holders_settle: bool,
-    /// Runs at a lost peer are run again only once they are over.
+    /// Tasks at a lost peer are tried again only once their attempts are over.
     pub lost_attempts_are_waited_for: bool,
     /// A start without reply counts as running until its end is known.
     pub starts_are_doubted: bool,
-    /// Targets that leave get no new work.
+    /// Targets that leave get no new tasks.
     pub leaving_is_heeded: bool,
     /// A job that may have begun isn't refused as not run.
     pub begun_is_not_refused: bool,
-    /// Runs on a target that doesn't answer are over after its hold.
+    /// Attempts on a target that doesn't answer are over only after its lease.
     pub silent_attempts_are_waited_for: bool,
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a host is told of itself.
+/// What a host is told when it starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The host's name.
@@ -81,9 +81,9 @@
     pub address: SocketAddr,
     /// Its hall.
     pub hall: Name,
-    /// Unique to this life of the process.
+    /// Grows each time the process starts.
     pub incarnation: u64,
-    /// The processor time that it has, in thousandths of a core.
+    /// Its processor time, in thousandths of a core.
     pub processor_weight: u32,
     /// Addresses of peers that may be there.
     pub seeds: Vec<SocketAddr>,
@@ -91,6 +91,6 @@
     pub bounds: Bounds,
     /// Wall-clock time at which the steady clock was 0, in ms since 1970.
     pub epoch_ms: u64,
-    /// The mechanisms that are there.
+    /// The mechanisms; all but in tests.
     pub safeguards: Safeguards,
 }
--- a/crates/dispatcher-core/src/targets/lease.rs
+++ b/crates/dispatcher-core/src/targets/lease.rs
@@ -171,7 +171,7 @@
 /// keeps them below 2^53, the largest integer that a double holds exactly. They
 /// reach it in the year 2109.
 const TOKEN_STEP_MS: u64 = 4;
-/// How many hosts can be told apart; a few dozen share a hall. Chosen, not
+/// How many hosts' tokens differ; a few dozen share a hall. Chosen, not
 /// measured.
 const HOST_PARTS: u64 = 1 << 13;
 
--- a/crates/dispatcher-core/src/targets/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -130,7 +130,7 @@
         self.send_stops(now);
     }
 
-    /// Takes the ends that owners are to be told.
+    /// Takes the ends of attempts that owners are to hear of.
     pub fn take_reports(&mut self) -> Vec<EndReport> {
         for report in &self.reports {
             self.tasks.remove(&report.end.id.task);
--- a/crates/dispatcher-sim/src/faults.rs
+++ b/crates/dispatcher-sim/src/faults.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-use crate::target::Mood;
+use crate::target::Behaviour;
 
 /// Something that goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// A target's process dies and another starts.
     Crash(usize),
     /// A target misbehaves.
-    Moody(usize, Mood),
+    Misbehave(usize, Behaviour),
     /// A target says that it leaves.
     Leave(usize),
     /// Calls to targets get no answer and are done late.
@@ -56,9 +56,9 @@
         8 => Fault::CutHall(rng.random_range(0..halls)),
         9 => Fault::CutTarget(target),
         10 => Fault::Crash(target),
-        11 => Fault::Moody(target, Mood::Fails),
-        12 => Fault::Moody(target, Mood::Hangs),
-        13 => Fault::Moody(target, Mood::Slow),
+        11 => Fault::Misbehave(target, Behaviour::Fails),
+        12 => Fault::Misbehave(target, Behaviour::Hangs),
+        13 => Fault::Misbehave(target, Behaviour::Slow),
         14 => Fault::Leave(target),
         15 => Fault::Late,
         16 => Fault::LostAnswers,
--- a/crates/dispatcher-sim/src/lib.rs
+++ b/crates/dispatcher-sim/src/lib.rs
@@ -1,9 +1,13 @@
-//! A small seeded driver around [`gannetridge_dispatcher_core::Dispatcher`]: several
-//! hosts in one process, targets with tokens, holds and clocks of their own,
-//! callers that leave and come again, and faults of every kind that the users
-//! name. The same seed gives the same run.
+//! A seeded simulator of [`gannetridge_dispatcher_core::Dispatcher`]: several hosts in
+//! one process, targets with fencing tokens, leases and clocks of their own, callers
+//! that leave and come again, and faults of every kind. The same seed gives the same
+//! run, event for event.
 //!
-//! [`checks::Checks`] sees only what callers and targets see.
+//! - [`world`] owns everything that moves, as one queue of what happens
+//! - [`target`], [`callers`]: models of targets and callers; the soak uses the targets
+//!   as well
+//! - [`faults`]: what goes wrong
+//! - [`checks`]: what must hold, by what callers and targets see alone
 
 pub mod callers;
 pub mod checks;
--- a/crates/dispatcher-sim/src/target.rs
+++ b/crates/dispatcher-sim/src/target.rs
@@ -1,5 +1,5 @@
-//! A target, as the platform's page tells it: one token, one hold, one list of
-//! ends, a clock of its own.
+//! A model of a target: one fencing token, one lease, one list of ends, a clock of its
+//! own that may be slow.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 use gannetridge_dispatcher_core::{Millis, StartOrder};
 use gannetridge_wire::Name;
 
-/// How a target misbehaves.
+/// How a target behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum Behaviour {
     /// It works.
     Well,
     /// It fails all that it starts.
@@ -43,7 +43,7 @@
     /// Whether its process lives.
     pub up: bool,
     /// How it misbehaves.
-    pub mood: Mood,
+    pub behaviour: Behaviour,
     /// What runs there.
     pub attempts: BTreeMap<AttemptId, Attempt>,
     /// Ends that were not taken note of.
@@ -77,7 +77,7 @@
             entry,
             guards,
             up: true,
-            mood: Mood::Well,
+            behaviour: Behaviour::Well,
             attempts: BTreeMap::new(),
             ended: Vec::new(),
             rate,
@@ -110,10 +110,10 @@
     pub fn advance(&mut self, now: Millis) -> Vec<Ended> {
         let passed = now.saturating_sub(self.advanced) as f64;
         self.advanced = now;
-        let speed = match self.mood {
-            Mood::Well | Mood::Fails => 1.0,
-            Mood::Hangs => 0.0,
-            Mood::Slow => 1.0 / 7.0,
+        let speed = match self.behaviour {
+            Behaviour::Well | Behaviour::Fails => 1.0,
+            Behaviour::Hangs => 0.0,
+            Behaviour::Slow => 1.0 / 7.0,
         };
         let lease_expired = self.clock(now) > self.lease_until;
         let mut over = Vec::new();
@@ -122,7 +122,7 @@
             if lease_expired {
                 over.push((key.clone(), ListedOutcome::Ended));
             } else if attempt.left_ms <= 0.0 {
-                let fails = attempt.fails || self.mood == Mood::Fails;
+                let fails = attempt.fails || self.behaviour == Behaviour::Fails;
                 let outcome = if fails {
                     ListedOutcome::Failed
                 } else {
--- a/crates/dispatcher-sim/src/world/answers.rs
+++ b/crates/dispatcher-sim/src/world/answers.rs
@@ -1,6 +1,11 @@
 //! Callers that submit, wait, leave and come again.
 
-use super::*;
+use gannetridge_dispatcher_core::{Answer, Event, Millis, RequestId};
+use rand::Rng;
+
+use crate::callers::Caller;
+
+use super::{Happening, World, HURRY_MS, MAX_ATTEMPTS, PROBES};
 
 impl World {
     pub(super) fn new_job(&mut self) {
--- a/crates/dispatcher-sim/src/world/building.rs
+++ b/crates/dispatcher-sim/src/world/building.rs
@@ -1,6 +1,16 @@
 //! New hosts and targets, and what the store tells of them.
 
-use super::*;
+use std::collections::HashMap;
+
+use gannetridge_dispatcher_core::event::TargetEntry;
+use gannetridge_dispatcher_core::message::HostInfo;
+use gannetridge_dispatcher_core::spec::Resources;
+use gannetridge_dispatcher_core::{Dispatcher, Event, Settings};
+use rand::Rng;
+
+use crate::target::Target;
+
+use super::{queues, Happening, Host, World, EPOCH_MS};
 
 impl World {
     pub(super) fn hall_of_host(&self, host: usize) -> usize {
--- a/crates/dispatcher-sim/src/world/trouble.rs
+++ b/crates/dispatcher-sim/src/world/faults.rs
@@ -1,6 +1,14 @@
 //! Faults that begin and end.
 
-use super::*;
+use gannetridge_dispatcher_core::event::TargetChange;
+use gannetridge_dispatcher_core::{Event, Millis};
+use rand::Rng;
+
+use crate::faults;
+use crate::faults::Fault;
+use crate::target::Behaviour;
+
+use super::{lift, queues, Happening, World, LAPSE_MS, NEWS_MS};
 
 impl World {
     pub(super) fn fault(&mut self) {
@@ -55,8 +63,8 @@
                 self.crash(target, length);
                 "crash"
             }
-            Fault::Moody(target, mood) => {
-                self.targets[target].mood = mood;
+            Fault::Misbehave(target, behaviour) => {
+                self.targets[target].behaviour = behaviour;
                 "moody"
             }
             Fault::Leave(target) => {
@@ -98,7 +106,7 @@
             Fault::CutTargets(host) => lift(&mut self.cut_targets, host),
             Fault::CutHall(hall) => lift(&mut self.cut_halls, hall),
             Fault::CutTarget(target) => lift(&mut self.cut_target, target),
-            Fault::Moody(target, _) => self.targets[target].mood = Mood::Well,
+            Fault::Misbehave(target, _) => self.targets[target].behaviour = Behaviour::Well,
             Fault::Late => self.late -= 1,
             Fault::LostAnswers => self.lost_answers -= 1,
             Fault::LossyPeers => self.lossy_peers -= 1,
--- a/crates/dispatcher-sim/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -1,50 +1,50 @@
-//! Hosts, targets, callers and the network between them, as one queue of
-//! things to happen.
+//! Hosts, targets, callers and the network between them, as one queue of what happens.
+//!
+//! [`World`] owns all of it, and draws every chance from the scenario's seed.
 
 mod answers;
 mod building;
+mod faults;
 mod network;
-mod trouble;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
-use gannetridge_dispatcher_core::event::{TargetChange, TargetEntry};
+use gannetridge_dispatcher_core::event::TargetChange;
 use gannetridge_dispatcher_core::message::{Envelope, HostInfo, Reply};
 use gannetridge_dispatcher_core::queues::{Queue, Queues};
 use gannetridge_dispatcher_core::spec::Resources;
 use gannetridge_dispatcher_core::{
-    Action, Answer, CallId, Dispatcher, Event, Millis, RequestId, SendFailure, Settings,
-    StartOrder, TargetCall, TargetReply,
+    Action, CallId, Dispatcher, Event, Millis, SendFailure, TargetCall, TargetReply,
 };
 use gannetridge_wire::Name;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
 use crate::callers::Caller;
 use crate::checks::Checks;
-use crate::faults::{self, Fault};
+use crate::faults::Fault;
 use crate::scenario::{Outcome, Scenario};
-use crate::target::{Attempt, Mood, Target};
+use crate::target::Target;
 
-/// Between looks at what runs on targets.
+/// Between steps of what runs on targets, in ms.
 const STEP_MS: Millis = 5;
-/// From a change of the list until hosts hear of it.
+/// From a change of the list until hosts hear of it, in ms.
 const NEWS_MS: Millis = 250;
-/// From a target's silent death until its entry goes.
+/// From a target's silent death until its entry goes, in ms.
 const LAPSE_MS: Millis = 4_500;
-/// A caller with less time than this may get no answer in time.
+/// A caller with less time than this, in ms, may get no answer in time.
 const HURRY_MS: Millis = 50;
-/// After the load, time until whatever was harmed serves again.
+/// After the load, time in ms until every host must serve again.
 const RECOVERY_MS: Millis = 12_000;
-/// Between probes of each host after that, and how many there are.
+/// Between probes of each host after that, in ms, and how many there are.
 const PROBE_GAP_MS: Millis = 100;
 const PROBES: u64 = 10;
-/// Time for the last answers.
+/// Time for the last answers, in ms.
 const AFTER_MS: Millis = 3_000;
-/// Faults begin when hosts have found each other.
+/// Faults begin when hosts have found each other, in ms.
 const QUIET_MS: Millis = 2_000;
-/// The part of calls that are hit while they get late, or their answers lost.
+/// The share of calls that are late, or whose answers are lost, during such a fault.
 const HIT: f64 = 0.1;
 /// The wall clock's time when the run begins.
 const EPOCH_MS: u64 = 1_760_000_000_000;
@@ -63,9 +63,9 @@
     woke: Millis,
     tick_at: Millis,
     queue: Vec<Event>,
-    /// Callers that wait here, by token.
+    /// Callers that wait here, by request.
     callers: HashMap<u64, usize>,
-    /// Peers that wait here, by token.
+    /// Peers that wait here, by request.
     peers: HashMap<u64, Pending>,
 }
 
@@ -133,7 +133,7 @@
     ReadAgain(usize),
 }
 
-/// Everything.
+/// Hosts, targets, callers and the network between them.
 pub struct World {
     scenario: Scenario,
     rng: Pcg64,
--- a/crates/dispatcher-sim/src/world/network.rs
+++ b/crates/dispatcher-sim/src/world/network.rs
@@ -1,6 +1,15 @@
 //! Calls between hosts and to targets, and what is lost of them.
 
-use super::*;
+use gannetridge_dispatcher_core::message::Envelope;
+use gannetridge_dispatcher_core::{
+    CallId, Event, Millis, RequestId, SendFailure, StartOrder, TargetCall, TargetReply,
+};
+use gannetridge_wire::Name;
+use rand::Rng;
+
+use crate::target::Attempt;
+
+use super::{Happening, LongPoll, Pending, World, HIT, STEP_MS};
 
 impl World {
     pub(super) fn trip(&mut self) -> Millis {
--- a/crates/dispatcher/src/decision_log.rs
+++ b/crates/dispatcher/src/decision_log.rs
@@ -1,7 +1,7 @@
 //! The log lines of decisions: the event's name and its fields, one line each.
 //!
 //! Operators and `gannetridge story` read these names, and `docs/OPERATIONS.md`
-//! lists them; `tests/told.rs` holds them. Other modules log what concerns the
+//! lists them; `tests/operator_view.rs` holds them. Other modules log what concerns the
 //! process itself.
 
 use gannetridge_dispatcher_core::Decision;
--- a/crates/dispatcher/src/metrics.rs
+++ b/crates/dispatcher/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters, gauges and latency histograms.
 //!
-//! `docs/OPERATIONS.md` lists them; `tests/told.rs` holds their names and labels.
+//! `docs/OPERATIONS.md` lists them; `tests/operator_view.rs` holds their names and labels.
 
 use gannetridge_dispatcher_core::decision::EndCause;
 use gannetridge_dispatcher_core::dispatcher::Counts;
--- a/crates/dispatcher/src/platform_client.rs
+++ b/crates/dispatcher/src/platform_client.rs
@@ -1,6 +1,6 @@
 //! What the process needs of the platform, as typed calls.
 //!
-//! `platform/` fills [`PlatformClient`] in: it makes each call once, as it is told,
+//! `platform/` fills [`PlatformClient`] in: it makes each call once,
 //! and knows the platform's names, which nothing here does. It decides nothing; what
 //! a failure means is judged by the tasks that call.
 
--- a/crates/entry-call/src/main.rs
+++ b/crates/entry-call/src/main.rs
@@ -9,6 +9,7 @@
 use gannetridge_entry_call::{CallerSettings, JobFile, Reply, Sender};
 use gannetridge_entry_wire::{Submission, SubmissionId};
 use gannetridge_net::runtime;
+use gannetridge_process::start::exit_code;
 use gumdrop::Options;
 use rand::Rng;
 
@@ -29,19 +30,16 @@
     print_settings: bool,
 }
 
+/// The exit code where the answer isn't the job's results.
+const NO_RESULTS: u8 = 2;
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse_args_default_or_exit();
-    match start(&arguments) {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(2),
-        Err(error) => {
-            eprintln!("gannetridge-call: {error:#}");
-            ExitCode::FAILURE
-        }
-    }
+    exit_code("gannetridge-call", start(&arguments))
 }
 
-fn start(arguments: &Arguments) -> anyhow::Result<bool> {
+/// Exits with 2 if there is an answer and it isn't the job's results.
+fn start(arguments: &Arguments) -> anyhow::Result<ExitCode> {
     let path = arguments
         .settings
         .as_ref()
@@ -49,7 +47,7 @@
     let settings: CallerSettings = gannetridge_process::settings::read(path)?;
     if arguments.print_settings {
         println!("{}", serde_json::to_string_pretty(&settings)?);
-        return Ok(true);
+        return Ok(ExitCode::SUCCESS);
     }
     let path = arguments
         .job
@@ -60,7 +58,10 @@
     eprintln!("id: {}", submission.id);
     let reply = runtime::run(async move { sender.send(submission).await })??;
     print(&reply);
-    Ok(reply.status.is_success())
+    if reply.status.is_success() {
+        return Ok(ExitCode::SUCCESS);
+    }
+    Ok(ExitCode::from(NO_RESULTS))
 }
 
 fn read_text(path: &Path) -> anyhow::Result<String> {
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,6 +1,5 @@
 //! The process of one entry host.
 
-use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -12,10 +11,10 @@
 use gannetridge_entry::settings::Settings;
 use gannetridge_entry::{logging, peer_api, public_api};
 use gannetridge_entry_core::{Event, Host};
-use gannetridge_net::{bind, runtime, serve, Client, ClientLimits};
+use gannetridge_net::{runtime, serve, Client, ClientLimits};
+use gannetridge_process::start::{exit_code, listen};
 use gumdrop::Options;
 use local_sync::mpsc::unbounded;
-use monoio::net::TcpListener;
 use tracing::info;
 
 /// Serves callers as one entry host.
@@ -31,13 +30,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse_args_default_or_exit();
-    match start(&arguments) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("gannetridge-entry: {error:#}");
-            ExitCode::FAILURE
-        }
-    }
+    exit_code("gannetridge-entry", start(&arguments))
 }
 
 fn start(arguments: &Arguments) -> anyhow::Result<()> {
@@ -90,7 +83,3 @@
     monoio::time::sleep(std::time::Duration::from_millis(50)).await;
     Ok(())
 }
-
-fn listen(addr: SocketAddr) -> anyhow::Result<TcpListener> {
-    bind(addr).with_context(|| format!("can't listen on {addr}"))
-}
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,10 +1,10 @@
 //! Metrics, in the text format of Prometheus.
 
 use gannetridge_entry_core::{Host, Note};
-use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
+use gannetridge_net::HttpReply;
+use gannetridge_process::metrics::{MetricsRegistry, TargetInfo};
+use opentelemetry::metrics::{Counter, Gauge, Histogram};
 use opentelemetry::KeyValue;
-use opentelemetry_sdk::metrics::SdkMeterProvider;
-use prometheus::{Encoder, Registry, TextEncoder};
 
 /// Bounds of the histogram of response time over the ideal.
 const RATIO_BOUNDS: [f64; 14] = [
@@ -17,9 +17,7 @@
 
 /// Everything that is measured.
 pub struct Metrics {
-    registry: Registry,
-    // Keeps the instruments connected to the registry.
-    _provider: SdkMeterProvider,
+    registry: MetricsRegistry,
     ratio: Histogram<f64>,
     seconds: Histogram<f64>,
     refused: Counter<u64>,
@@ -38,12 +36,8 @@
     ///
     /// Fails if the registry refuses the exporter.
     pub fn new() -> anyhow::Result<Self> {
-        let registry = Registry::new();
-        let exporter = opentelemetry_prometheus::exporter()
-            .with_registry(registry.clone())
-            .build()?;
-        let provider = SdkMeterProvider::builder().with_reader(exporter).build();
-        let meter = provider.meter("gannetridge");
+        let registry = MetricsRegistry::new(TargetInfo::Shown)?;
+        let meter = registry.meter();
         let ratio = meter
             .f64_histogram("response_over_ideal")
             .with_description("A job's response time over its slowest task's own time")
@@ -72,7 +66,6 @@
             jobs: gauge("jobs_running", "Jobs that this host runs"),
             remembered: gauge("submissions_remembered", "Submissions in the ledger"),
             registry,
-            _provider: provider,
         })
     }
 
@@ -124,14 +117,12 @@
         self.remembered.record(host.remembered() as u64, &[]);
     }
 
-    /// Writes all metrics as text.
+    /// Returns all metrics as a reply over HTTP.
     ///
     /// # Errors
     ///
     /// Fails if a metric can't be encoded.
-    pub fn text(&self) -> anyhow::Result<Vec<u8>> {
-        let mut text = Vec::new();
-        TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
-        Ok(text)
+    pub fn reply(&self) -> anyhow::Result<HttpReply> {
+        self.registry.reply()
     }
 }
--- a/crates/entry/src/operator_api.rs
+++ b/crates/entry/src/operator_api.rs
@@ -3,9 +3,9 @@
 use gannetridge_entry_config::DocumentKey;
 use gannetridge_entry_core::{ChangeRequest, Host};
 use gannetridge_net::{HttpReply, HttpRequest};
+use gannetridge_process::mailbox::ask;
 use gannetridge_wire::Name;
 use http::{Method, StatusCode};
-use local_sync::oneshot;
 
 use crate::core_task::{Message, Sender};
 use crate::metrics::Metrics;
@@ -85,13 +85,9 @@
         read_at,
         text: text.into(),
     };
-    let (answer_tx, answer_rx) = oneshot::channel();
-    let sent = tx.send(Message::Change(request, answer_tx));
-    match (sent, answer_rx.await) {
-        (Ok(()), Ok(answer)) => problem::change(&answer),
-        _ => {
-            let status = StatusCode::SERVICE_UNAVAILABLE;
-            problem::plain(status, "stopping", "The host is stopping; ask another")
-        }
+    let asked = ask(&tx, |tx| Message::Change(request, tx));
+    match asked.await {
+        Ok(answer) => problem::change(&answer),
+        Err(_) => public_api::stopping(),
     }
 }
--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -2,9 +2,9 @@
 
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_net::{HttpReply, HttpRequest};
+use gannetridge_process::mailbox::{ask, NoAnswer};
 use gannetridge_wire::codec;
 use http::{Method, StatusCode};
-use local_sync::oneshot;
 use tracing::warn;
 
 use crate::calls::{PEER_PATH, PEER_TYPE};
@@ -27,14 +27,12 @@
             return encoded(StatusCode::BAD_REQUEST, &PeerReply::Unreadable);
         }
     };
-    let (reply_tx, reply_rx) = oneshot::channel();
-    if tx.send(Message::Peer(Box::new(request), reply_tx)).is_err() {
-        // The host has stopped; nothing is done any more.
-        return encoded(StatusCode::OK, &PeerReply::Declined);
-    }
-    match reply_rx.await {
+    let asked = ask(&tx, |tx| Message::Peer(Box::new(request), tx));
+    match asked.await {
         Ok(reply) => encoded(StatusCode::OK, &reply),
-        Err(_) => problem::plain(
+        // The host has stopped: nothing is done with the request.
+        Err(NoAnswer::NotTaken) => encoded(StatusCode::OK, &PeerReply::Declined),
+        Err(NoAnswer::Dropped) => problem::plain(
             StatusCode::SERVICE_UNAVAILABLE,
             "stopping",
             "The host is stopping",
--- a/crates/entry/src/public_api.rs
+++ b/crates/entry/src/public_api.rs
@@ -3,17 +3,15 @@
 use gannetridge_entry_core::Host;
 use gannetridge_entry_wire::Submission;
 use gannetridge_net::{HttpReply, HttpRequest};
+use gannetridge_process::mailbox::ask;
 use http::{Method, StatusCode};
-use local_sync::oneshot;
 use serde::Serialize;
+use tracing::warn;
 
 use crate::core_task::{Message, Sender};
 use crate::metrics::Metrics;
 use crate::{operator_api, problem};
 
-/// The text format of Prometheus.
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
-
 /// Handles one request.
 pub async fn handle(tx: Sender, req: HttpRequest) -> HttpReply {
     match (&req.method, req.path.as_str()) {
@@ -43,15 +41,14 @@
             return problem::bad_request("bad-submission", title, &error.to_string());
         }
     };
-    let (answer_tx, answer_rx) = oneshot::channel();
-    let sent = tx.send(Message::Submit(Box::new(submission), answer_tx));
-    match (sent, answer_rx.await) {
-        (Ok(()), Ok(answer)) => problem::answer(&answer),
-        _ => stopping(),
+    let asked = ask(&tx, |tx| Message::Submit(Box::new(submission), tx));
+    match asked.await {
+        Ok(answer) => problem::answer(&answer),
+        Err(_) => stopping(),
     }
 }
 
-fn stopping() -> HttpReply {
+pub(crate) fn stopping() -> HttpReply {
     let title = "The host is stopping; ask another";
     problem::plain(StatusCode::SERVICE_UNAVAILABLE, "stopping", title)
 }
@@ -61,16 +58,13 @@
     tx: Sender,
     make: impl FnOnce(&Host, &Metrics) -> HttpReply + 'static,
 ) -> HttpReply {
-    let (reply_tx, reply_rx) = oneshot::channel();
-    let look = move |host: &Host, metrics: &Metrics| {
-        // Whoever asked may be gone.
-        let _ = reply_tx.send(make(host, metrics));
-    };
-    let sent = tx.send(Message::Look(Box::new(look)));
-    match (sent, reply_rx.await) {
-        (Ok(()), Ok(reply)) => reply,
-        _ => stopping(),
-    }
+    let asked = ask(&tx, |reply_tx| {
+        Message::Look(Box::new(move |host, metrics| {
+            // Whoever asked may be gone.
+            let _ = reply_tx.send(make(host, metrics));
+        }))
+    });
+    asked.await.unwrap_or_else(|_| stopping())
 }
 
 #[derive(Serialize)]
@@ -120,11 +114,9 @@
 }
 
 fn metrics(_: &Host, metrics: &Metrics) -> HttpReply {
-    match metrics.text() {
-        Ok(text) => HttpReply::new(StatusCode::OK, METRICS_TYPE, text),
-        Err(_) => {
-            let status = StatusCode::INTERNAL_SERVER_ERROR;
-            problem::plain(status, "metrics", "The metrics can't be encoded")
-        }
-    }
+    metrics.reply().unwrap_or_else(|error| {
+        warn!(%error, "unencodable metrics");
+        let status = StatusCode::INTERNAL_SERVER_ERROR;
+        problem::plain(status, "metrics", "The metrics can't be encoded")
+    })
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,6 +4,7 @@
 
 use std::process::ExitCode;
 
+use gannetridge_process::start::exit_code;
 use gumdrop::Options;
 
 /// Runs randomised runs around the real decision core.
@@ -43,11 +44,5 @@
         Some(Command::Dispatch(options)) => cmd::dispatch::run(&options),
         Some(Command::Mutants(options)) => cmd::mutants::run(&options),
     };
-    match outcome {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("gannetridge-lab: {error:#}");
-            ExitCode::FAILURE
-        }
-    }
+    exit_code("gannetridge-lab", outcome)
 }
--- a/crates/process/src/start.rs
+++ b/crates/process/src/start.rs
@@ -1,19 +1,21 @@
 //! The start and the end of a program.
 
 use std::net::SocketAddr;
-use std::process::ExitCode;
+use std::process::{ExitCode, Termination};
 
 use anyhow::Context;
 use gannetridge_net::bind;
 use monoio::net::TcpListener;
 
 /// Returns a program's exit code, and prints why it failed if it did.
-#[must_use]
-pub fn exit_code(program: &str, outcome: anyhow::Result<ExitCode>) -> ExitCode {
-    outcome.unwrap_or_else(|error| {
-        eprintln!("{program}: {error:#}");
-        ExitCode::FAILURE
-    })
+pub fn exit_code(program: &str, outcome: anyhow::Result<impl Termination>) -> ExitCode {
+    match outcome {
+        Ok(outcome) => outcome.report(),
+        Err(error) => {
+            eprintln!("{program}: {error:#}");
+            ExitCode::FAILURE
+        }
+    }
 }
 
 /// Listens on an address.
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,6 +7,7 @@
 use std::process::ExitCode;
 
 use anyhow::Context;
+use gannetridge_process::start::exit_code;
 use gumdrop::Options;
 
 use crate::api::{Api, OperatorSettings};
@@ -26,13 +27,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse_args_default_or_exit();
-    match start(arguments) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("gannetridge: {error:#}");
-            ExitCode::FAILURE
-        }
-    }
+    exit_code("gannetridge", start(arguments))
 }
 
 fn start(arguments: Arguments) -> anyhow::Result<()> {
--- a/tests/testsuite/sources.rs
+++ b/tests/testsuite/sources.rs
@@ -5,7 +5,7 @@
 fn sources(dir: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(dir).expect("a folder") {
         let path = entry.expect("an entry").path();
-        if path.is_dir() && !path.ends_with("target") {
+        if path.is_dir() {
             sources(&path, found);
         } else if path.extension().is_some_and(|e| e == "rs") {
             found.push(path);
@@ -13,14 +13,19 @@
     }
 }
 
-#[test]
-fn only_one_place_builds_a_runtime_and_none_uses_io_uring() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+/// Returns the sources outside `platform/`.
+fn sources_outside_platform(root: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     sources(&root.join("crates"), &mut files);
     sources(&root.join("src"), &mut files);
     assert!(files.len() > 50, "the sources were found");
-    for file in files {
+    files
+}
+
+#[test]
+fn only_one_place_builds_a_runtime_and_none_uses_io_uring() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    for file in sources_outside_platform(root) {
         let text = std::fs::read_to_string(&file).expect("a source file");
         let builds = text.contains("RuntimeBuilder");
         assert_eq!(
@@ -59,11 +64,7 @@
 #[test]
 fn the_platforms_words_stand_in_its_folder_alone() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let mut files = Vec::new();
-    sources(&root.join("crates"), &mut files);
-    sources(&root.join("src"), &mut files);
-    assert!(files.len() > 50, "the sources were found");
-    for file in files {
+    for file in sources_outside_platform(root) {
         let text = std::fs::read_to_string(&file).expect("a source file");
         let text = text.to_lowercase();
         for word in PLATFORM_WORDS {
