--- a/crates/dispatcher-core/src/targets/lease.rs
+++ b/crates/dispatcher-core/src/targets/lease.rs
@@ -1,23 +1,48 @@
 //! A host's lease on one target: how far it has got, and its renewals.
 
+use std::sync::LazyLock;
+
+use gannetridge_state_chart::{chart_names, Chart};
+
 use crate::event::CallId;
 use crate::rules::contention::{self, Claim};
 use crate::Millis;
 
-/// How far a host has got with a target's lease.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LeaseStage {
-    /// Another host's, or nobody's.
-    NotHeld,
-    /// Its token may not be known at the target yet.
-    Acquiring,
-    /// Its token is known there, but attempts run that it didn't start. They are
-    /// let run until their own leases end, and nothing is started beside them.
-    Settling,
-    /// Held: tasks may be started.
-    Held,
+chart_names! {
+    /// How far a host has got with a target's lease; see `charts/target-lease.toml`.
+    LeaseStage {
+        /// Another host's, or nobody's.
+        NotHeld = "not-held",
+        /// Its token may not be known at the target yet.
+        Acquiring = "acquiring",
+        /// Its token is known there, but attempts run that it didn't start. They are
+        /// let run until their own leases end, and nothing is started beside them.
+        Settling = "settling",
+        /// Held: tasks may be started.
+        Held = "held",
+    }
+}
+
+chart_names! {
+    /// What happens to a host's lease on a target.
+    LeaseEvent {
+        /// The host sends a new token.
+        Acquire = "acquire",
+        /// The target knows the token and runs only what this host started.
+        OwnOnly = "own-only",
+        /// The target knows the token and runs attempts that this host didn't start.
+        ForeignRuns = "foreign-runs",
+        /// The host gives the target up, or loses it.
+        Leave = "leave",
+    }
 }
 
+/// The chart of a target's lease, interpreted.
+static LEASE: LazyLock<Chart<LeaseStage, LeaseEvent>> = LazyLock::new(|| {
+    Chart::parse(include_str!("../../charts/target-lease.toml"))
+        .expect("the chart is part of the program and read by each test of a lease")
+});
+
 /// A host's lease on one target; times in ms of this host's clock.
 #[derive(Debug)]
 pub(super) struct Lease {
@@ -49,7 +74,7 @@
     /// A lease that this host doesn't hold.
     pub(super) fn not_held() -> Self {
         Self {
-            stage: LeaseStage::NotHeld,
+            stage: LEASE.initial(),
             token: 0,
             held_since: 0,
             incumbent_since: None,
@@ -98,7 +123,7 @@
     }
 
     fn begin(&mut self, now: Millis, token: u64) {
-        self.stage = LeaseStage::Acquiring;
+        LEASE.advance(&mut self.stage, LeaseEvent::Acquire);
         self.token = token;
         self.next_renewal = now;
         // A call that went out before tells nothing of what came since.
@@ -107,7 +132,7 @@
 
     /// Gives it up.
     pub(super) fn give_up(&mut self) {
-        self.stage = LeaseStage::NotHeld;
+        LEASE.advance(&mut self.stage, LeaseEvent::Leave);
         self.renewal = None;
     }
 
@@ -121,14 +146,15 @@
     /// Takes in that the target has this host's token; `settled` says that it
     /// runs nothing that this host didn't start.
     pub(super) fn confirmed(&mut self, now: Millis, settled: bool) {
-        if !matches!(self.stage, LeaseStage::Acquiring | LeaseStage::Settling) {
-            return;
-        }
-        if settled {
-            self.stage = LeaseStage::Held;
-            self.held_since = self.incumbent_since.unwrap_or(now);
+        let was_held = self.is_held();
+        let event = if settled {
+            LeaseEvent::OwnOnly
         } else {
-            self.stage = LeaseStage::Settling;
+            LeaseEvent::ForeignRuns
+        };
+        LEASE.advance(&mut self.stage, event);
+        if self.is_held() && !was_held {
+            self.held_since = self.incumbent_since.unwrap_or(now);
         }
     }
 
--- a/crates/entry-core/src/charts.rs
+++ b/crates/entry-core/src/charts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::LazyLock;
 
-use crate::chart::{chart_names, Chart};
+use gannetridge_state_chart::{chart_names, Chart};
 
 chart_names! {
     /// The state of one run of a task.
--- a/crates/entry-core/src/lib.rs
+++ b/crates/entry-core/src/lib.rs
@@ -13,7 +13,6 @@
 
 pub mod action;
 pub mod admission;
-pub mod chart;
 pub mod charts;
 pub mod config_store;
 pub mod directory;
--- a/crates/entry-core/tests/charts.rs
+++ b/crates/entry-core/tests/charts.rs
@@ -1,9 +1,9 @@
 //! The state charts agree with the code, and wrong ones are refused.
 
-use gannetridge_entry_core::chart::{Chart, ChartError, ChartNames};
 use gannetridge_entry_core::charts::{
     ShardEvent, ShardState, TaskEvent, TaskState, CHANGE, SHARD, TARGET, TASK,
 };
+use gannetridge_state_chart::{Chart, ChartError, ChartNames};
 
 #[test]
 fn all_charts_are_read() {
--- a/crates/entry-core/src/chart.rs
+++ b/crates/state-chart/src/lib.rs
@@ -20,6 +20,7 @@
 }
 
 /// Declares an enum whose members carry the names that a chart uses.
+#[macro_export]
 macro_rules! chart_names {
     ($(#[$meta:meta])* $name:ident { $($(#[$doc:meta])* $member:ident = $text:literal,)+ }) => {
         $(#[$meta])*
@@ -28,7 +29,7 @@
             $($(#[$doc])* $member,)+
         }
 
-        impl $crate::chart::ChartNames for $name {
+        impl $crate::ChartNames for $name {
             const NAMES: &'static [(&'static str, Self)] = &[$(($text, Self::$member),)+];
 
             fn index(self) -> usize {
@@ -37,7 +38,6 @@
         }
     };
 }
-pub(crate) use chart_names;
 
 /// Why a chart can't be used.
 #[derive(Debug, Error)]
