--- a/crates/dispatcher-core/tests/answers.rs
+++ b/crates/dispatcher-core/tests/answers.rs
@@ -29,7 +29,7 @@
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 2_000);
     assert_eq!(rig.starts().len(), 1);
-    // The target says nothing any more: its hold ends, no other is there.
+    // The target says nothing any more: its lease ends, no other is there.
     rig.pass(2_100);
     assert_eq!(rig.answer_to(1), Some(&Answer::Unfinished));
 });
@@ -93,7 +93,7 @@
     assert!(matches!(rig.answer_to(1), Some(Answer::Refused { .. })));
 });
 
-case!(a_caller_that_leaves_has_its_runs_ended, {
+case!(a_caller_that_leaves_has_its_attempts_stopped, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(2, 7_000, 600)], 3_000);
     let starts = rig.starts();
@@ -127,7 +127,7 @@
     }
 });
 
-case!(a_job_that_comes_again_unfinished_has_runs_of_its_own, {
+case!(a_job_that_comes_again_unfinished_has_attempts_of_its_own, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 2_000);
     let first = rig.starts().remove(0).2;
--- a/crates/dispatcher-core/tests/many_peers.rs
+++ b/crates/dispatcher-core/tests/many_peers.rs
@@ -67,7 +67,7 @@
     assert_eq!(rig.host.counts(rig.now).peers_alive, 0);
 });
 
-case!(a_want_is_told_to_some_of_many_and_to_others_next, {
+case!(a_demand_is_advertised_to_some_of_many_and_to_others_next, {
     let mut rig = among(48);
     heartbeats_in(&mut rig, 5_000, 0);
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
@@ -86,7 +86,7 @@
 case!(a_peers_clock_is_heard_before_it_gets_tasks, {
     let mut rig = among(48);
     heartbeats_in(&mut rig, 5_000, 16_000);
-    // Nothing was heard of anyone for longer than half a vouch.
+    // Nothing was heard of anyone for longer than half an owner lease.
     rig.pass(300);
     rig.requests(|_| true);
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
@@ -102,7 +102,7 @@
     assert_eq!(rig.requests(is_place).len(), 1, "then it gets them at once");
 });
 
-case!(heartbeats_keep_up_the_vouches_where_tasks_run, {
+case!(heartbeats_renew_the_owner_lease_where_tasks_run, {
     let mut rig = among(48);
     heartbeats_in(&mut rig, 5_000, 16_000);
     rig.submit(1, ID, vec![step(1, 7_000, 2_000)], 6_000);
--- a/crates/dispatcher-core/tests/peers.rs
+++ b/crates/dispatcher-core/tests/peers.rs
@@ -9,7 +9,7 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-/// A host that knows a peer, which keeps the target `far`.
+/// A host that knows a peer, which holds the target `far`.
 fn with_peer(free_cpu: u32) -> Rig {
     let mut rig = Rig::new();
     rig.event(Event::HostsRead(vec![peer_info()]));
@@ -40,13 +40,16 @@
     }
 }
 
-case!(a_silent_peers_targets_are_taken_after_two_vouches, {
-    let mut rig = with_peer(0);
-    rig.pass(900);
-    assert!(rig.renewals().is_empty(), "it may only be slow to answer");
-    rig.pass(400);
-    assert_eq!(rig.renewals().len(), 1);
-});
+case!(
+    a_silent_peers_targets_are_acquired_after_two_owner_leases,
+    {
+        let mut rig = with_peer(0);
+        rig.pass(900);
+        assert!(rig.renewals().is_empty(), "it may only be slow to answer");
+        rig.pass(400);
+        assert_eq!(rig.renewals().len(), 1);
+    }
+);
 
 case!(a_refused_peers_targets_are_taken_at_once, {
     let mut rig = with_peer(0);
@@ -100,7 +103,7 @@
     }
 );
 
-case!(a_lost_peers_runs_are_tried_again_only_once_over, {
+case!(a_lost_peers_attempts_are_repeated_only_once_over, {
     let mut rig = with_peer(16_000);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 6_000);
     let asked = rig.requests(|request| matches!(request, Request::Place(_)));
@@ -128,7 +131,7 @@
     assert_eq!(place[0].2.attempt, 2);
 });
 
-case!(work_is_taken_only_from_hosts_that_vouch_for_it, {
+case!(tasks_are_started_only_under_a_valid_owner_lease, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let order = order("00000000000000aa.0.0.0");
     rig.peer_asks(1, Request::Place(vec![order.clone()]));
@@ -139,7 +142,7 @@
     assert_eq!(rig.stops(), vec![order.id]);
 });
 
-case!(a_task_that_found_no_room_is_taken_by_an_offer, {
+case!(a_task_without_a_target_uses_a_reservation, {
     let mut rig = with_peer(0);
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
     let demands = rig.requests(|request| matches!(request, Request::Demand(Some(_))));
@@ -158,7 +161,7 @@
     a_peers_next_life_is_heard_though_its_last_had_more_sessions,
     {
         let mut rig = with_peer(16_000);
-        // The last life has given up its runs here several times.
+        // The last incarnation has given up its runs here several times.
         rig.peer_asks_as(1, 7, 5, Request::Demand(None));
         // A reply is the first that tells of the next life, whose sessions begin
         // anew.
--- a/crates/dispatcher-core/tests/keeping.rs
+++ b/crates/dispatcher-core/tests/target_leases.rs
@@ -53,7 +53,7 @@
     assert!(rig.answer_to(1).is_some());
 });
 
-case!(a_target_taken_back_is_not_held_on_before_it_is_known, {
+case!(a_target_taken_back_is_not_renewed_before_it_is_known, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.pass(3_100);
     for (call, _) in rig.renewals() {
