--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -1,6 +1,6 @@
 //! One host: events and the time go in, actions come out.
 //!
-//! [`Dispatcher`] owns the host's parts ([`Jobs`], [`TargetLeases`], [`Peers`]) and
+//! [`Dispatcher`] owns the host's parts (`Jobs`, `TargetLeases`, `Peers`) and
 //! hands on what one leaves for another. It has no socket, clock, thread or
 //! randomness of its own; it relies on its caller to give it events in the order of
 //! a steady clock, to carry its actions out, and to come back at
--- a/crates/dispatcher-core/src/lib.rs
+++ b/crates/dispatcher-core/src/lib.rs
@@ -4,9 +4,9 @@
 //! It has no socket, clock, thread or randomness of its own.
 //!
 //! - [`rules`]: every decision, a file each, with its reason and its constants
-//! - [`jobs`]: the owner's side, for jobs of the callers connected here
-//! - [`targets`]: the targets, and the leases on them that this host holds
-//! - [`peers`]: the other hosts
+//! - `jobs`: the owner's side, for jobs of the callers connected here
+//! - `targets`: the targets, and the leases on them that this host holds
+//! - `peers`: the other hosts
 //! - [`dispatcher`]: hands on what one of these leaves for another
 //! - [`event`], [`action`], [`decision`], [`message`]: what goes in, what comes out,
 //!   what is logged, what hosts send each other
@@ -19,14 +19,14 @@
 pub mod decision;
 pub mod dispatcher;
 pub mod event;
-pub mod jobs;
+mod jobs;
 pub mod message;
-pub mod peers;
+mod peers;
 pub mod queues;
 pub mod rules;
 pub mod settings;
 pub mod spec;
-pub mod targets;
+mod targets;
 
 pub use action::{Action, Answer, StartOrder, TargetCall};
 pub use decision::Decision;
--- a/crates/dispatcher-core/src/peers/mod.rs
+++ b/crates/dispatcher-core/src/peers/mod.rs
@@ -23,8 +23,7 @@
 use crate::spec::Resources;
 use crate::Millis;
 
-pub use outbox::Outbox;
-pub use peer::{OpenDemand, OwnerLease, Peer, StopRequest};
+pub use peer::{Peer, StopRequest};
 
 /// Between heartbeats to a peer that doesn't answer, and to seeds, in ms. Chosen,
 /// not measured.
--- a/crates/dispatcher-core/src/rules/mod.rs
+++ b/crates/dispatcher-core/src/rules/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Each file states one rule: in words first, then its inputs with their units,
 //! why it is so, what was measured and what it gives up, then its constants
-//! and pure functions over small inputs. State lives elsewhere ([`crate::jobs`],
-//! [`crate::targets`], [`crate::peers`]) and asks here.
+//! and pure functions over small inputs. State lives elsewhere (`crate::jobs`,
+//! `crate::targets`, `crate::peers`) and asks here.
 //!
 //! | question | rule |
 //! |---|---|
--- a/crates/dispatcher-sim/src/lib.rs
+++ b/crates/dispatcher-sim/src/lib.rs
@@ -3,17 +3,17 @@
 //! that leave and come again, and faults of every kind. The same seed gives the same
 //! run, event for event.
 //!
-//! - [`world`] owns everything that moves, as one queue of what happens
-//! - [`target`], [`callers`]: models of targets and callers; the soak uses the targets
+//! - `world` owns everything that moves, as one queue of what happens
+//! - [`target`], `callers`: models of targets and callers; the soak uses the targets
 //!   as well
-//! - [`faults`]: what goes wrong
+//! - `faults`: what goes wrong
 //! - [`checks`]: what must hold, by what callers and targets see alone
 
-pub mod callers;
+mod callers;
 pub mod checks;
-pub mod faults;
-pub mod scenario;
+mod faults;
+mod scenario;
 pub mod target;
-pub mod world;
+mod world;
 
 pub use scenario::{run, Outcome, Scenario};
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -2,26 +2,26 @@
 //! the platform's store, logs and metrics.
 //!
 //! - [`process`] puts a process together and starts its tasks
-//! - [`core_task`] owns the dispatcher; all others send it messages ([`mailbox`])
-//! - [`caller_api`], [`peer_api`] own the sockets of callers and peers
+//! - `core_task` owns the dispatcher; all others send it messages (`mailbox`)
+//! - `caller_api`, [`peer_api`] own the sockets of callers and peers
 //! - [`store_task`] follows the platform's tables
-//! - [`decision_log`], [`metrics`], [`traffic`], [`logging`]: what operators see
-//! - [`reload`], [`signals`], [`settings`]: what operators set
+//! - [`decision_log`], [`metrics`], [`traffic`], `logging`: what operators see
+//! - `reload`, `signals`, [`settings`]: what operators set
 //!
 //! What the platform is like, this crate doesn't know: it is given a
 //! [`platform_client::PlatformClient`].
 
-pub mod caller_api;
-pub mod core_task;
+mod caller_api;
+mod core_task;
 pub mod decision_log;
-pub mod logging;
-pub mod mailbox;
+mod logging;
+mod mailbox;
 pub mod metrics;
 pub mod peer_api;
 pub mod platform_client;
 pub mod process;
-pub mod reload;
+mod reload;
 pub mod settings;
-pub mod signals;
+mod signals;
 pub mod store_task;
 pub mod traffic;
--- a/crates/entry-call/src/lib.rs
+++ b/crates/entry-call/src/lib.rs
@@ -2,7 +2,7 @@
 //! the same id until there is a final answer or no time is left.
 
 pub mod job;
-pub mod send;
+mod send;
 
 pub use job::{JobFile, JobFileError};
 pub use send::{CallerSettings, Reply, SendError, Sender};
--- a/crates/entry-core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -95,12 +95,6 @@
         self.entries.len()
     }
 
-    /// Tells whether the ledger is empty.
-    #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
-    }
-
     /// Returns an entry.
     #[must_use]
     pub fn get(&self, key: &EntryKey) -> Option<&Entry> {
--- a/crates/entry-core/src/lib.rs
+++ b/crates/entry-core/src/lib.rs
@@ -5,29 +5,29 @@
 //! a seed. The same code runs under real sockets, in randomised runs and in
 //! replays of recorded traces.
 //!
-//! - [`ownership`]: which submissions this host may start, and until when.
-//! - [`ledger`]: what it remembers of them.
-//! - [`admission`], [`queue`]: which jobs are taken, and whose turn it is.
-//! - [`targets`], [`health`], [`loans`]: where tasks run.
-//! - [`config_store`]: the configuration in force.
+//! - `ownership`: which submissions this host may start, and until when.
+//! - `ledger`: what it remembers of them.
+//! - `admission`, `queue`: which jobs are taken, and whose turn it is.
+//! - `targets`, `health`, `loans`: where tasks run.
+//! - `config_store`: the configuration in force.
 
-pub mod action;
-pub mod admission;
+mod action;
+mod admission;
 pub mod charts;
-pub mod config_store;
-pub mod directory;
-pub mod event;
-pub mod health;
-pub mod host;
-pub mod job;
-pub mod ledger;
-pub mod loans;
-pub mod ownership;
-pub mod queue;
-pub mod retry;
-pub mod seen;
-pub mod settings;
-pub mod targets;
+mod config_store;
+mod directory;
+mod event;
+mod health;
+mod host;
+mod job;
+mod ledger;
+mod loans;
+mod ownership;
+mod queue;
+mod retry;
+mod seen;
+mod settings;
+mod targets;
 
 pub use action::{Action, Note, Waste};
 pub use event::{CallId, ChangeAnswer, ChangeRequest, Event, SendFailure, Token};
--- a/crates/entry-core/src/queue.rs
+++ b/crates/entry-core/src/queue.rs
@@ -123,12 +123,6 @@
         index
     }
 
-    /// Returns the name of an account.
-    #[must_use]
-    pub fn name(&self, account: AccountIndex) -> &Name {
-        &self.accounts[account.0].name
-    }
-
     /// Tells whether an account uses its whole quota.
     #[must_use]
     pub fn over_quota(&self, account: AccountIndex) -> bool {
--- a/crates/entry-sim/src/lib.rs
+++ b/crates/entry-sim/src/lib.rs
@@ -4,11 +4,11 @@
 //!
 //! The same seed gives the same run. [`chaos`] looks for broken promises.
 
-pub mod callers;
+mod callers;
 pub mod chaos;
 pub mod checks;
-pub mod faults;
-pub mod hosts;
+mod faults;
+mod hosts;
 mod lifecycle;
 mod load;
 pub mod mutants;
@@ -18,9 +18,9 @@
 pub mod parallel;
 mod perform;
 mod planning;
-pub mod platform;
+mod platform;
 pub mod report;
-pub mod runners;
+mod runners;
 pub mod scenario;
 mod setup;
 mod starts;
