--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -17,7 +17,7 @@
 /// How long a peer's reply is awaited, in ms. Chosen, not measured.
 const PEER_WAIT_MS: Millis = 300;
 /// Before a request that had no reply is sent again, in ms. Chosen, not measured.
-pub(super) const RETRY_MS: Millis = 100;
+pub(super) const PEER_RETRY_MS: Millis = 100;
 /// Marks the numbers of calls to peers: calls to targets have theirs without it.
 const PEER_CALLS: u64 = 1 << 63;
 
@@ -211,7 +211,7 @@
                 let acknowledged = is_acknowledged(&reply);
                 if let Some(peer) = self.peers.get_mut(name) {
                     if !peer.stops.replied(call, acknowledged) {
-                        peer.retry_at = now + RETRY_MS;
+                        peer.retry_at = now + PEER_RETRY_MS;
                     }
                 }
             }
@@ -219,7 +219,7 @@
                 let acknowledged = is_acknowledged(&reply);
                 if let Some(peer) = self.peers.get_mut(name) {
                     if !peer.ends.replied(call, acknowledged) {
-                        peer.retry_at = now + RETRY_MS;
+                        peer.retry_at = now + PEER_RETRY_MS;
                     }
                 }
             }
--- a/crates/dispatcher-core/src/dispatcher/placement.rs
+++ b/crates/dispatcher-core/src/dispatcher/placement.rs
@@ -14,7 +14,7 @@
 use crate::targets::Owner;
 use crate::Millis;
 
-use super::peer_calls::{Purpose, RETRY_MS};
+use super::peer_calls::{Purpose, PEER_RETRY_MS};
 use super::Dispatcher;
 
 /// The most waiting tasks that are looked at after one event: bounds its cost.
@@ -118,7 +118,7 @@
     /// Asks a peer for its clock, so that tasks can be handed to it.
     fn ask_clock(&mut self, now: Millis, name: &Name) {
         let peer = self.peers.get_mut(name);
-        if peer.is_some_and(|peer| peer.ask_clock(now, RETRY_MS)) {
+        if peer.is_some_and(|peer| peer.ask_clock(now, PEER_RETRY_MS)) {
             let heartbeat = Request::Heartbeat(self.heartbeat());
             self.call_peer(now, name, heartbeat, Purpose::Heartbeat);
         }
--- a/crates/dispatcher-core/src/peers/mod.rs
+++ b/crates/dispatcher-core/src/peers/mod.rs
@@ -7,7 +7,9 @@
 //! peer choice. It relies on the dispatcher to send what is due.
 
 mod outbox;
+mod owner_lease;
 mod peer;
+mod schedule;
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -14,6 +14,8 @@
 use crate::Millis;
 
 use super::outbox::Outbox;
+use super::owner_lease::OwnerLease;
+use super::schedule::Schedule;
 
 /// An attempt that a peer is to stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,38 +26,6 @@
     pub report: bool,
 }
 
-/// The lease under which a peer's attempts run on targets of this host.
-#[derive(Clone, Copy, Debug)]
-pub struct OwnerLease {
-    /// The peer's session; attempts of earlier ones are stopped.
-    pub session: u64,
-    /// Until when it is valid, by the newest echo of this host's clock.
-    until: Millis,
-    /// Whether it has expired, and the attempts under it are being stopped.
-    expired: bool,
-}
-
-impl OwnerLease {
-    /// Renews it.
-    pub fn renew(&mut self, now: Millis, until: Millis) {
-        self.until = self.until.max(until);
-        self.expired &= until <= now;
-    }
-
-    /// Tells whether it is valid.
-    #[must_use]
-    pub fn is_valid(&self) -> bool {
-        !self.expired
-    }
-
-    /// Lets it expire when its time is over; tells whether it did so now.
-    pub fn expire(&mut self, now: Millis) -> bool {
-        let expires = !self.expired && self.until <= now;
-        self.expired |= expires;
-        expires
-    }
-}
-
 /// A peer's demand.
 #[derive(Clone, Debug)]
 struct HeardDemand {
@@ -73,15 +43,6 @@
     pub priority: crate::message::Priority,
 }
 
-/// When heartbeats go to a peer; times in ms of this host's clock.
-#[derive(Clone, Copy, Debug)]
-struct Schedule {
-    next: Millis,
-    last: Millis,
-    /// When one was last sent to hear the peer's clock, for tasks that wait.
-    clock_asked: Option<Millis>,
-}
-
 /// What is known of one other host; times in ms of this host's clock.
 #[derive(Debug)]
 pub struct Peer {
@@ -129,11 +90,7 @@
             was_alive: false,
             version: 0,
             session: 1,
-            owner_lease: OwnerLease {
-                session: 0,
-                until: 0,
-                expired: true,
-            },
+            owner_lease: OwnerLease::expired(),
             ends: Outbox::default(),
             stops: Outbox::default(),
             retry_at: 0,
@@ -142,11 +99,7 @@
             leaving: false,
             leased: HashSet::new(),
             demand: None,
-            schedule: Schedule {
-                next: now,
-                last: 0,
-                clock_asked: None,
-            },
+            schedule: Schedule::due_at(now),
         }
     }
 
@@ -206,7 +159,7 @@
         self.version = heartbeat.version;
         // One that never answered may have just started.
         if self.heard.acknowledged.is_none() {
-            self.schedule.next = self.schedule.next.min(now);
+            self.schedule.no_later_than(now);
         }
     }
 
@@ -221,7 +174,7 @@
     pub fn begin_use(&mut self, now: Millis, intervals: &HeartbeatIntervals) {
         self.heard.in_use_since.get_or_insert(now);
         let latest = self.clock_heard() + intervals.heartbeat;
-        self.schedule.next = self.schedule.next.min(latest);
+        self.schedule.no_later_than(latest);
     }
 
     /// Records that no attempt of this host runs there.
@@ -239,7 +192,7 @@
 
     /// Has a heartbeat sent to it at once.
     pub fn hurry_heartbeat(&mut self, now: Millis) {
-        self.schedule.next = now;
+        self.schedule.make_due(now);
     }
 
     /// Tells whether a heartbeat is due, and plans the next one if it is.
@@ -249,37 +202,25 @@
         intervals: &HeartbeatIntervals,
         silent_ms: Millis,
     ) -> bool {
-        if self.schedule.next > now {
-            return false;
-        }
         let alive = self.heard.is_alive(now, intervals);
         let interval = match (alive, self.heard.in_use_since) {
             (true, Some(_)) => intervals.heartbeat,
             (true, None) => intervals.idle,
             (false, _) => silent_ms.max(intervals.idle),
         };
-        self.schedule.next = now + interval;
-        self.schedule.last = now;
-        true
+        self.schedule.take_due(now, interval)
     }
 
     /// Postpones the next heartbeat, since the peer just answered something else.
     /// Now and then one is due all the same: it tells more.
     pub fn postpone_heartbeat(&mut self, now: Millis, intervals: &HeartbeatIntervals) {
-        let latest = self.schedule.last + intervals.idle.max(2 * intervals.heartbeat);
-        let next = self.schedule.next.max(now + intervals.heartbeat);
-        self.schedule.next = next.min(latest.max(self.schedule.next));
+        self.schedule.postpone(now, intervals);
     }
 
     /// Tells whether its clock is to be asked for: not if that was done within
     /// `pause_ms`. Records that it is.
     pub fn ask_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
-        let asked = self.schedule.clock_asked;
-        if asked.is_some_and(|at| at + pause_ms > now) {
-            return false;
-        }
-        self.schedule.clock_asked = Some(now);
-        true
+        self.schedule.ask_clock(now, pause_ms)
     }
 
     /// Takes in its demand, or that it has none.
--- a/crates/dispatcher-core/src/targets/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -9,6 +9,7 @@
 
 mod attempt;
 mod claims;
+mod ends;
 mod lease;
 mod list;
 mod renewals;
@@ -41,7 +42,7 @@
 /// 747c58b: 100 instead of 200.
 const REPLY_WAIT_MS: Millis = 100;
 /// Between calls to a target that doesn't answer, in ms. Chosen, not measured.
-const RETRY_MS: Millis = 100;
+const SILENT_RETRY_MS: Millis = 100;
 /// How long a host that should leave a target to another waits for it to be empty
 /// before it starts nothing more there, in ms. Chosen, not measured.
 const RELEASE_PATIENCE_MS: Millis = 1_000;
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -7,9 +7,9 @@
 use crate::message::{AttemptId, AttemptOutcome};
 use crate::Millis;
 
+use super::ends::Listing;
 use super::lease::LeaseStage;
-use super::target::Listing;
-use super::{Purpose, Sent, TargetLeases, RETRY_MS};
+use super::{Purpose, Sent, TargetLeases, SILENT_RETRY_MS};
 
 /// Between renewals of a target on which nothing runs, in ms. Chosen, not
 /// measured.
@@ -71,7 +71,7 @@
             }
             Ok(TargetReply::WrongIncarnation) => self.incarnation_over(now, id),
             // It answers, if not to the point: a later renewal shows more.
-            Ok(_) => target.lease.next_renewal = now + RETRY_MS,
+            Ok(_) => target.lease.next_renewal = now + SILENT_RETRY_MS,
             Err(_) => self.missed(now, id, BeliefSource::Renewal),
         }
     }
@@ -109,7 +109,7 @@
         let retry = if target.lease.stage == LeaseStage::Acquiring {
             ACQUIRE_RETRY_MS
         } else {
-            RETRY_MS
+            SILENT_RETRY_MS
         };
         target.lease.next_renewal = now + retry;
         if silent_now {
--- a/crates/dispatcher-core/src/targets/stops.rs
+++ b/crates/dispatcher-core/src/targets/stops.rs
@@ -7,7 +7,7 @@
 use crate::message::AttemptId;
 use crate::Millis;
 
-use super::{Purpose, TargetLeases, REPLY_WAIT_MS, RETRY_MS};
+use super::{Purpose, TargetLeases, REPLY_WAIT_MS, SILENT_RETRY_MS};
 
 /// How long it is remembered that an attempt was stopped before it came, in ms: a
 /// request to start it may be on its way. Chosen, not measured.
@@ -113,7 +113,7 @@
         let mut stops = Vec::new();
         for (target_id, target) in &self.targets {
             let silent_since = target.health.silent_since();
-            let silent = silent_since.is_some_and(|since| since + RETRY_MS < now);
+            let silent = silent_since.is_some_and(|since| since + SILENT_RETRY_MS < now);
             if target.lease.is_free() || silent {
                 continue;
             }
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -4,16 +4,15 @@
 
 use gannetridge_wire::Name;
 
-use crate::decision::EndEvidence;
-use crate::event::{CallId, ListedEnd, ListedOutcome, TargetEntry};
-use crate::message::{AttemptEnd, AttemptId, AttemptOutcome, FreeResources, TaskOrder};
+use crate::event::{CallId, TargetEntry};
+use crate::message::{AttemptId, FreeResources, TaskOrder};
 use crate::rules::leases::{least_on_target_clock, Times};
 use crate::rules::target_choice::{self, Candidate};
 use crate::rules::target_health::TargetHealth;
 use crate::spec::Resources;
 use crate::Millis;
 
-use super::attempt::{Attempt, EndReport, Owner, StopStage};
+use super::attempt::{Attempt, Owner, StopStage};
 use super::lease::{Lease, LeaseStage};
 
 /// What a target's clock showed, and when on this host's clock.
@@ -30,16 +29,6 @@
     until: Millis,
 }
 
-/// A target's listing, as it was asked for.
-pub(super) struct Listing<'a> {
-    /// When it was asked for.
-    pub(super) asked: Millis,
-    /// What runs there.
-    pub(super) running: &'a [AttemptId],
-    /// Ends that weren't acknowledged before.
-    pub(super) ended: &'a [ListedEnd],
-}
-
 /// One target as this host sees it.
 #[derive(Debug)]
 pub(super) struct Target {
@@ -272,82 +261,4 @@
         });
         attempts.map(|(id, _)| id.clone()).collect()
     }
-
-    /// Takes a listing in; returns the attempts that have ended.
-    ///
-    /// With `settles` a new holder waits until attempts that it doesn't know are
-    /// over.
-    pub(super) fn take_listing(
-        &mut self,
-        now: Millis,
-        listing: &Listing<'_>,
-        settles: bool,
-    ) -> Vec<EndReport> {
-        let mut reports = Vec::new();
-        for end in listing.ended {
-            self.lease.acknowledged = self.lease.acknowledged.max(end.number);
-            reports.extend(self.take_end(now, end));
-        }
-        for id in listing.running {
-            self.confirm(now, id);
-        }
-        let over = self.attempts.iter().filter(|(id, attempt)| {
-            attempt.would_be_listed(listing.asked) && !listing.running.contains(id)
-        });
-        let over: Vec<AttemptId> = over.map(|(id, _)| id.clone()).collect();
-        for id in over {
-            reports.extend(self.end(now, &id, AttemptOutcome::Lost, EndEvidence::NotListed));
-        }
-        let mut running = listing.running.iter();
-        let own_only = running.all(|id| self.attempts.contains_key(id));
-        self.lease.confirmed(now, own_only || !settles);
-        reports
-    }
-
-    fn take_end(&mut self, now: Millis, end: &ListedEnd) -> Option<EndReport> {
-        let attempt = self.attempts.get(&end.id)?;
-        let took_ms = now.saturating_sub(attempt.started);
-        let outcome = match end.outcome {
-            ListedOutcome::Done => {
-                self.health.succeeded(took_ms, attempt.estimate_ms);
-                AttemptOutcome::Done
-            }
-            ListedOutcome::Failed => {
-                self.health.failed(now);
-                AttemptOutcome::Failed
-            }
-            ListedOutcome::Ended | ListedOutcome::Unknown => AttemptOutcome::Lost,
-        };
-        self.end(now, &end.id, outcome, EndEvidence::Listed)
-    }
-
-    /// Ends an attempt.
-    pub(super) fn end(
-        &mut self,
-        now: Millis,
-        id: &AttemptId,
-        outcome: AttemptOutcome,
-        by: EndEvidence,
-    ) -> Option<EndReport> {
-        let attempt = self.attempts.remove(id)?;
-        Some(EndReport {
-            owner: attempt.owner,
-            end: AttemptEnd {
-                id: id.clone(),
-                outcome,
-                target: self.entry.id.clone(),
-            },
-            by,
-            took_ms: now.saturating_sub(attempt.started),
-            wanted: attempt.report,
-        })
-    }
-
-    /// Ends all attempts as lost.
-    pub(super) fn end_all(&mut self, now: Millis, by: EndEvidence) -> Vec<EndReport> {
-        let ids: Vec<AttemptId> = self.attempts.keys().cloned().collect();
-        let ends = ids.iter();
-        ends.filter_map(|id| self.end(now, id, AttemptOutcome::Lost, by))
-            .collect()
-    }
 }
--- a/crates/dispatcher/src/store_task.rs
+++ b/crates/dispatcher/src/store_task.rs
@@ -24,7 +24,7 @@
 const FOLLOW_WAIT_MS: Millis = 2_000;
 /// The first and the longest pause between tries while the store gives no answer, in
 /// ms. Commit c18e573.
-const RETRY_MS: (Millis, Millis) = (150, 600);
+const STORE_RETRY_MS: (Millis, Millis) = (150, 600);
 /// The targets' table, whose rows change all the time, is read this often in the time
 /// in which a leaving target has to be known. Commit c18e573.
 const READS_PER_DRAIN: Millis = 4;
@@ -70,12 +70,12 @@
     async fn wait(&mut self) {
         let part = rand::random_range(0.5..1.0);
         let pause = Duration::from_millis((self.0 as f64 * part) as u64);
-        self.0 = (self.0 * 2).min(RETRY_MS.1);
+        self.0 = (self.0 * 2).min(STORE_RETRY_MS.1);
         monoio::time::sleep(pause).await;
     }
 
     fn reset(&mut self) {
-        self.0 = RETRY_MS.0;
+        self.0 = STORE_RETRY_MS.0;
     }
 }
 
@@ -149,7 +149,7 @@
     tx: Sender,
     reachable: Reachable,
 ) {
-    let mut pause = RetryPause(RETRY_MS.0);
+    let mut pause = RetryPause(STORE_RETRY_MS.0);
     let mut progress = Progress::default();
     loop {
         let next = progress.next();
@@ -215,7 +215,7 @@
 
 /// Writes this host's row, so that others find it.
 pub async fn announce(platform_client: PlatformClient, info: HostInfo) {
-    let mut pause = RetryPause(RETRY_MS.0);
+    let mut pause = RetryPause(STORE_RETRY_MS.0);
     loop {
         match (platform_client.write_host)(info.clone()).await {
             Ok(()) => {
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -175,7 +175,10 @@
         if reply.status != StatusCode::OK {
             return Err(TableFailure::Unclear);
         }
-        serde_json::from_slice(&reply.body).map_err(|_| TableFailure::Unclear)
+        serde_json::from_slice(&reply.body).map_err(|error| {
+            warn!(%error, "unreadable reply from the table");
+            TableFailure::Unclear
+        })
     }
 
     /// Reads what changed in the platform's list of targets since a version.
@@ -187,9 +190,13 @@
             let sent =
                 this.client
                     .call(this.platform, Method::GET, &path, JSON, body, PLATFORM_WAIT);
-            let Ok(reply) = sent.await else { return };
-            if let Ok(list) = serde_json::from_slice::<HostList>(&reply.body) {
-                this.tell(Event::Listed(list));
+            // What fails is read again with the next poll.
+            match sent.await {
+                Ok(reply) => match serde_json::from_slice::<HostList>(&reply.body) {
+                    Ok(list) => this.tell(Event::Listed(list)),
+                    Err(error) => warn!(%error, "unreadable list of targets"),
+                },
+                Err(error) => warn!(%error, "the list of targets wasn't read"),
             }
         });
     }
