--- a/crates/dispatcher-core/src/queues.rs
+++ b/crates/dispatcher-core/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: queues and the pools of targets behind them.
+//! The configuration: queues and the pools of targets behind them.
 
 use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
@@ -46,14 +46,14 @@
 
 /// One version of the configuration, whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Queues {
+pub struct Configuration {
     /// The version; it only grows.
     pub version: u64,
     /// All queues.
     pub queues: Vec<Queue>,
 }
 
-impl Queues {
+impl Configuration {
     /// Finds the queue with the longest prefix of `path` on `host`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
--- a/crates/dispatcher-core/src/dispatcher/caller_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/caller_requests.rs
@@ -27,7 +27,7 @@
 
     pub(super) fn submit(&mut self, now: Millis, request_id: RequestId, submit: Submit) {
         let path = submit.path.clone();
-        let (queue, id) = match admission::check(self.queues.as_ref(), &submit) {
+        let (queue, id) = match admission::check(self.configuration.as_ref(), &submit) {
             Ok(Addressed { queue, id }) => (queue.clone(), id),
             Err(rejected) => return self.reject(request_id, &path, rejected),
         };
@@ -63,8 +63,8 @@
     }
 
     /// Answers a question about a job or a queue.
-    pub(super) fn ask(&mut self, request_id: RequestId, host: &Name, path: &Name) {
-        let answer = match admission::address(self.queues.as_ref(), host, path) {
+    pub(super) fn query(&mut self, request_id: RequestId, host: &Name, path: &Name) {
+        let answer = match admission::address(self.configuration.as_ref(), host, path) {
             Err(rejected) => rejected.answer,
             Ok(Addressed { queue, id }) if id.is_empty() => {
                 Answer::Pending(self.jobs.pending(&queue.name))
@@ -75,7 +75,7 @@
     }
 
     pub(super) fn cancel(&mut self, now: Millis, request_id: RequestId, host: &Name, path: &Name) {
-        let answer = match admission::address(self.queues.as_ref(), host, path) {
+        let answer = match admission::address(self.configuration.as_ref(), host, path) {
             Err(rejected) => rejected.answer,
             Ok(Addressed { id, .. }) if self.jobs.cancel(now, &id) => Answer::Cancelled,
             Ok(_) => Answer::NoJob,
--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -17,12 +17,12 @@
 use std::net::SocketAddr;
 
 use crate::action::Action;
+use crate::configuration::Configuration;
 use crate::decision::{ConfigurationSource, Decision};
 use crate::event::Event;
 use crate::jobs::Jobs;
 use crate::message::HostInfo;
 use crate::peers::Peers;
-use crate::queues::Queues;
 use crate::rules::leases::Times;
 use crate::settings::{BoundsError, Settings};
 use crate::targets::TargetLeases;
@@ -53,7 +53,7 @@
     settings: Settings,
     times: Times,
     own: HostInfo,
-    queues: Option<Queues>,
+    configuration: Option<Configuration>,
     jobs: Jobs,
     targets: TargetLeases,
     peers: Peers,
@@ -86,7 +86,7 @@
             settings,
             times,
             own,
-            queues: None,
+            configuration: None,
             calls: PeerCalls::default(),
             timers: Timers::default(),
             stopping: None,
@@ -104,13 +104,15 @@
     /// Tells whether callers should be sent here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.queues.is_some() && self.stopping.is_none()
+        self.configuration.is_some() && self.stopping.is_none()
     }
 
     /// Returns the version of the configuration in force, 0 for none.
     #[must_use]
     pub fn version(&self) -> u64 {
-        self.queues.as_ref().map_or(0, |queues| queues.version)
+        self.configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.version)
     }
 
     /// Returns how much the host has to do.
@@ -155,11 +157,11 @@
     fn take(&mut self, now: Millis, event: Event) {
         match event {
             Event::Submit { request_id, submit } => self.submit(now, request_id, *submit),
-            Event::Ask {
+            Event::Query {
                 request_id,
                 host,
                 path,
-            } => self.ask(request_id, &host, &path),
+            } => self.query(request_id, &host, &path),
             Event::Cancel {
                 request_id,
                 host,
@@ -177,7 +179,9 @@
             Event::TargetsChanged(changes) => self.targets.list_changed(now, changes),
             Event::TargetsRead(entries) => self.targets.list_read(now, entries),
             Event::StoreReachable(reachable) => self.store_reachable(now, reachable),
-            Event::QueuesRead(queues) => self.use_queues(queues, ConfigurationSource::Store),
+            Event::ConfigurationRead(configuration) => {
+                self.use_configuration(configuration, ConfigurationSource::Store)
+            }
             Event::HostsRead(hosts) => {
                 for host in &hosts {
                     self.peers.learn(now, host);
@@ -195,10 +199,10 @@
 
     /// Puts a configuration in force unless it is older than the present one: a
     /// host never goes back to an earlier version.
-    fn use_queues(&mut self, queues: Queues, from: ConfigurationSource) {
-        if queues.version > self.version() || self.queues.is_none() {
-            let version = queues.version;
-            self.queues = Some(queues);
+    fn use_configuration(&mut self, configuration: Configuration, from: ConfigurationSource) {
+        if configuration.version > self.version() || self.configuration.is_none() {
+            let version = configuration.version;
+            self.configuration = Some(configuration);
             self.record(Decision::Configuration { version, from });
         }
     }
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -29,7 +29,7 @@
     Reservation,
     Stop,
     Ended,
-    Queues,
+    Configuration,
 }
 
 /// Whom a call went to.
@@ -48,7 +48,7 @@
     open: HashMap<CallId, Callee>,
     last: u64,
     /// Whether a peer is being asked for its configuration.
-    fetching_queues: bool,
+    fetching_configuration: bool,
 }
 
 impl PeerCalls {
@@ -197,7 +197,7 @@
             Purpose::Heartbeat => {
                 if let Some(ReplyBody::Heartbeat(heartbeat)) = body(reply) {
                     self.peers.heartbeat_replied(now, name, &heartbeat);
-                    self.fetch_queues(now, name);
+                    self.fetch_configuration(now, name);
                 }
             }
             Purpose::Demand => {}
@@ -223,10 +223,10 @@
                     }
                 }
             }
-            Purpose::Queues => {
-                self.calls.fetching_queues = false;
-                if let Some(ReplyBody::Queues(Some(queues))) = body(reply) {
-                    self.use_queues(queues, ConfigurationSource::Peer);
+            Purpose::Configuration => {
+                self.calls.fetching_configuration = false;
+                if let Some(ReplyBody::Configuration(Some(configuration))) = body(reply) {
+                    self.use_configuration(configuration, ConfigurationSource::Peer);
                 }
             }
         }
@@ -267,11 +267,11 @@
     }
 
     /// Asks a peer for its configuration if that is newer than this host's.
-    pub(super) fn fetch_queues(&mut self, now: Millis, name: &Name) {
+    pub(super) fn fetch_configuration(&mut self, now: Millis, name: &Name) {
         let theirs = self.peers.get(name).map_or(0, |peer| peer.version);
-        if theirs > self.version() && !self.calls.fetching_queues {
-            let call = self.call_peer(now, name, Request::Queues, Purpose::Queues);
-            self.calls.fetching_queues = call.is_some();
+        if theirs > self.version() && !self.calls.fetching_configuration {
+            let call = self.call_peer(now, name, Request::Configuration, Purpose::Configuration);
+            self.calls.fetching_configuration = call.is_some();
         }
     }
 }
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -76,7 +76,7 @@
         match request {
             Request::Heartbeat(heartbeat) => {
                 let reply = self.heartbeat_received(now, name, &heartbeat);
-                self.fetch_queues(now, name);
+                self.fetch_configuration(now, name);
                 reply
             }
             Request::Place(orders) => self.asked_to_place(now, name, session, &orders),
@@ -101,7 +101,7 @@
                 }
                 ReplyBody::Acknowledged
             }
-            Request::Queues => ReplyBody::Queues(self.queues.clone()),
+            Request::Configuration => ReplyBody::Configuration(self.configuration.clone()),
         }
     }
 
--- a/crates/dispatcher-core/src/event.rs
+++ b/crates/dispatcher-core/src/event.rs
@@ -3,8 +3,8 @@
 
 use gannetridge_wire::Name;
 
+use crate::configuration::Configuration;
 use crate::message::{AttemptId, Envelope, HostInfo, Reply};
-use crate::queues::Queues;
 use crate::spec::{JobSpec, Resources};
 use crate::Millis;
 
@@ -148,8 +148,8 @@
         /// The job.
         submit: Box<Submit>,
     },
-    /// A caller asked for a job's state or a queue's count.
-    Ask {
+    /// A caller asked for a job's state or how many jobs of a queue wait.
+    Query {
         /// The request.
         request_id: RequestId,
         /// The virtual host that the caller named.
@@ -199,7 +199,7 @@
     /// The platform's store was lost or is back.
     StoreReachable(bool),
     /// A configuration was read.
-    QueuesRead(Queues),
+    ConfigurationRead(Configuration),
     /// Hosts were found in the platform's table.
     HostsRead(Vec<HostInfo>),
     /// A timer is due.
@@ -214,7 +214,7 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Submit { .. } => "submit",
-            Self::Ask { .. } => "ask",
+            Self::Query { .. } => "ask",
             Self::Cancel { .. } => "cancel",
             _ => "other",
         }
--- a/crates/dispatcher-core/src/jobs/job.rs
+++ b/crates/dispatcher-core/src/jobs/job.rs
@@ -2,9 +2,9 @@
 
 use gannetridge_wire::Name;
 
+use crate::configuration::Queue;
 use crate::event::RequestId;
 use crate::message::{AttemptId, Priority, PriorityClass};
-use crate::queues::Queue;
 use crate::rules::giving_up::OpenJob;
 use crate::rules::priority::{priority, WaitingJob};
 use crate::spec::JobSpec;
--- a/crates/dispatcher-core/src/jobs/mod.rs
+++ b/crates/dispatcher-core/src/jobs/mod.rs
@@ -16,10 +16,10 @@
 use gannetridge_wire::Name;
 
 use crate::action::{Action, Answer};
+use crate::configuration::Queue;
 use crate::decision::Decision;
 use crate::event::{RequestId, Submit};
 use crate::message::AttemptId;
-use crate::queues::Queue;
 use crate::rules::admission::MAX_JOBS;
 use crate::rules::giving_up::refused_when_full;
 use crate::settings::Safeguards;
--- a/crates/dispatcher-core/src/lib.rs
+++ b/crates/dispatcher-core/src/lib.rs
@@ -16,13 +16,13 @@
 //! a log line to its rule.
 
 pub mod action;
+pub mod configuration;
 pub mod decision;
 pub mod dispatcher;
 pub mod event;
 mod jobs;
 pub mod message;
 mod peers;
-pub mod queues;
 pub mod rules;
 pub mod settings;
 pub mod spec;
--- a/crates/dispatcher-core/src/message.rs
+++ b/crates/dispatcher-core/src/message.rs
@@ -11,7 +11,7 @@
 use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::queues::Queues;
+use crate::configuration::Configuration;
 use crate::spec::Resources;
 use crate::Millis;
 
@@ -212,7 +212,8 @@
     /// Tells how the receiver's attempts ended.
     Ended(Vec<AttemptEnd>),
     /// Asks for the configuration.
-    Queues,
+    #[serde(rename = "Queues")]
+    Configuration,
 }
 
 impl Request {
@@ -226,7 +227,7 @@
             Self::Reservation(_) => "offer",
             Self::Stop { .. } => "stop",
             Self::Ended(_) => "ended",
-            Self::Queues => "queues",
+            Self::Configuration => "queues",
         }
     }
 }
@@ -266,7 +267,8 @@
     /// Whether the receiver of a reservation sends tasks for it.
     Interested(bool),
     /// The configuration, if the host has one.
-    Queues(Option<Queues>),
+    #[serde(rename = "Queues")]
+    Configuration(Option<Configuration>),
     /// The request was carried out.
     #[serde(rename = "Noted")]
     Acknowledged,
--- a/crates/dispatcher-core/src/rules/admission.rs
+++ b/crates/dispatcher-core/src/rules/admission.rs
@@ -16,9 +16,9 @@
 use gannetridge_wire::Name;
 
 use crate::action::Answer;
+use crate::configuration::{Configuration, Queue};
 use crate::decision::Rejection;
 use crate::event::Submit;
-use crate::queues::{Queue, Queues};
 use crate::spec::check_id;
 use crate::Millis;
 
@@ -53,15 +53,15 @@
 ///
 /// Fails without a configuration, and if there is no such queue.
 pub fn address<'a>(
-    queues: Option<&'a Queues>,
+    configuration: Option<&'a Configuration>,
     host: &str,
     path: &str,
 ) -> Result<Addressed<'a>, Rejected> {
-    let queues = queues.ok_or(Rejected {
+    let configuration = configuration.ok_or(Rejected {
         reason: Rejection::NoConfiguration,
         answer: Answer::NotReady,
     })?;
-    let queue = queues.find(host, path).ok_or(Rejected {
+    let queue = configuration.find(host, path).ok_or(Rejected {
         reason: Rejection::UnknownQueue,
         answer: Answer::NoQueue,
     })?;
@@ -74,8 +74,11 @@
 /// # Errors
 ///
 /// Fails on the first fault.
-pub fn check<'a>(queues: Option<&'a Queues>, submit: &Submit) -> Result<Addressed<'a>, Rejected> {
-    let addressed = address(queues, &submit.host, &submit.path)?;
+pub fn check<'a>(
+    configuration: Option<&'a Configuration>,
+    submit: &Submit,
+) -> Result<Addressed<'a>, Rejected> {
+    let addressed = address(configuration, &submit.host, &submit.path)?;
     check_id(&addressed.id)
         .and_then(|()| submit.spec.check())
         .map_err(|error| Rejected {
--- a/crates/dispatcher-core/tests/answers.rs
+++ b/crates/dispatcher-core/tests/answers.rs
@@ -159,7 +159,7 @@
     calm.prefix = "/calm/".into();
     calm.urgency = 2;
     queues.queues.push(calm);
-    rig.event(Event::QueuesRead(queues));
+    rig.event(Event::ConfigurationRead(queues));
     rig.submit(1, ID, vec![step(1, 16_000, 100)], 3_000);
     let (call, _, first) = rig.starts().remove(0);
     rig.target_reply(
--- a/crates/dispatcher-core/tests/messages.rs
+++ b/crates/dispatcher-core/tests/messages.rs
@@ -4,12 +4,12 @@
 
 use std::fmt::Write;
 
+use gannetridge_dispatcher_core::configuration::{Configuration, Queue};
 use gannetridge_dispatcher_core::message::{
     AttemptEnd, AttemptId, AttemptOutcome, Demand, EchoedClock, Envelope, FreeResources, Heartbeat,
     HeartbeatReply, HostInfo, Priority, PriorityClass, Reply, ReplyBody, Request, SpreadLimit,
     TaskOrder,
 };
-use gannetridge_dispatcher_core::queues::{Queue, Queues};
 use gannetridge_dispatcher_core::spec::Resources;
 use gannetridge_wire::codec;
 
@@ -128,8 +128,8 @@
     .collect()
 }
 
-fn queues() -> Queues {
-    Queues {
+fn queues() -> Configuration {
+    Configuration {
         version: 12,
         queues: vec![Queue {
             name: "queue-1".into(),
@@ -176,7 +176,7 @@
 
 bytes! {
     request_beat: ask(Request::Heartbeat(heartbeat()));
-    request_without_echo: Envelope { echoed_clock: None, ..ask(Request::Queues) };
+    request_without_echo: Envelope { echoed_clock: None, ..ask(Request::Configuration) };
     request_place: ask(Request::Place(vec![order(), plain_order()]));
     request_want: ask(Request::Demand(Some(demand(PriorityClass::Begun))));
     request_want_in_aim: ask(Request::Demand(Some(demand(PriorityClass::OnTime))));
@@ -186,7 +186,7 @@
     request_offer: ask(Request::Reservation(free()));
     request_stop: ask(Request::Stop { keys: vec![key()], report: true });
     request_ended: ask(Request::Ended(ends()));
-    request_queues: ask(Request::Queues);
+    request_queues: ask(Request::Configuration);
     reply_beat: reply(ReplyBody::Heartbeat(HeartbeatReply {
         leaving: false,
         version: 11,
@@ -195,8 +195,8 @@
     }));
     reply_placed: reply(ReplyBody::Placed(vec![0, 2]));
     reply_interested: reply(ReplyBody::Interested(true));
-    reply_queues: reply(ReplyBody::Queues(Some(queues())));
-    reply_no_queues: reply(ReplyBody::Queues(None));
+    reply_queues: reply(ReplyBody::Configuration(Some(queues())));
+    reply_no_queues: reply(ReplyBody::Configuration(None));
     reply_noted: reply(ReplyBody::Acknowledged);
     reply_stale: reply(ReplyBody::Stale);
 }
--- a/crates/dispatcher-core/tests/support/mod.rs
+++ b/crates/dispatcher-core/tests/support/mod.rs
@@ -1,11 +1,11 @@
 //! One host with scripted surroundings.
 #![allow(dead_code)]
 
+use gannetridge_dispatcher_core::configuration::{Configuration, Queue};
 use gannetridge_dispatcher_core::event::{ListedEnd, ListedOutcome, Submit, TargetEntry};
 use gannetridge_dispatcher_core::message::{
     AttemptId, Envelope, FreeResources, HeartbeatReply, HostInfo, Reply, ReplyBody, Request,
 };
-use gannetridge_dispatcher_core::queues::{Queue, Queues};
 use gannetridge_dispatcher_core::spec::{JobSpec, Resources, StepSpec};
 use gannetridge_dispatcher_core::{
     Action, Answer, Bounds, CallId, Dispatcher, Event, Millis, RequestId, Settings, TargetCall,
@@ -65,8 +65,8 @@
     }
 }
 
-pub fn queues(version: u64) -> Queues {
-    Queues {
+pub fn queues(version: u64) -> Configuration {
+    Configuration {
         version,
         queues: vec![Queue {
             name: "turns".into(),
@@ -124,7 +124,7 @@
             replies: Vec::new(),
             stopped: false,
         };
-        rig.event(Event::QueuesRead(queues(1)));
+        rig.event(Event::ConfigurationRead(queues(1)));
         rig
     }
 
--- a/crates/dispatcher-sim/src/world/building.rs
+++ b/crates/dispatcher-sim/src/world/building.rs
@@ -90,7 +90,7 @@
         if self.store_out == 0 {
             let hosts = self.hosts.iter().map(|host| host.info.clone()).collect();
             for event in [
-                Event::QueuesRead(queues()),
+                Event::ConfigurationRead(queues()),
                 Event::TargetsRead(self.list()),
                 Event::HostsRead(hosts),
             ] {
--- a/crates/dispatcher-sim/src/world/faults.rs
+++ b/crates/dispatcher-sim/src/world/faults.rs
@@ -126,7 +126,7 @@
             self.tell(host, 20, Event::StoreReachable(true));
             let hosts = self.hosts.iter().map(|host| host.info.clone()).collect();
             self.tell(host, 21, Event::HostsRead(hosts));
-            self.tell(host, 21, Event::QueuesRead(queues()));
+            self.tell(host, 21, Event::ConfigurationRead(queues()));
             // Some entries lapsed meanwhile, and are back soon.
             let mut list = self.list();
             list.retain(|_| self.rng.random_bool(0.7));
--- a/crates/dispatcher-sim/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -10,9 +10,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
+use gannetridge_dispatcher_core::configuration::{Configuration, Queue};
 use gannetridge_dispatcher_core::event::TargetChange;
 use gannetridge_dispatcher_core::message::{Envelope, HostInfo, Reply};
-use gannetridge_dispatcher_core::queues::{Queue, Queues};
 use gannetridge_dispatcher_core::spec::Resources;
 use gannetridge_dispatcher_core::{
     Action, CallId, Dispatcher, Event, Millis, SendFailure, TargetCall, TargetReply,
@@ -402,8 +402,8 @@
     }
 }
 
-fn queues() -> Queues {
-    Queues {
+fn queues() -> Configuration {
+    Configuration {
         version: 1,
         queues: vec![Queue {
             name: "turns".into(),
--- a/crates/dispatcher/src/caller_api.rs
+++ b/crates/dispatcher/src/caller_api.rs
@@ -50,7 +50,7 @@
 ) -> HttpReply {
     let event = match request {
         CallerRequest::Submit(submit) => Event::Submit { request_id, submit },
-        CallerRequest::Ask { host, path } => Event::Ask {
+        CallerRequest::Query { host, path } => Event::Query {
             request_id,
             host,
             path,
--- a/crates/dispatcher/src/platform_client.rs
+++ b/crates/dispatcher/src/platform_client.rs
@@ -9,11 +9,11 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
+use gannetridge_dispatcher_core::configuration::Configuration;
 use gannetridge_dispatcher_core::event::{
     SendFailure, Submit, TargetChange, TargetEntry, TargetReply,
 };
 use gannetridge_dispatcher_core::message::HostInfo;
-use gannetridge_dispatcher_core::queues::Queues;
 use gannetridge_dispatcher_core::{Answer, Millis, TargetCall};
 use gannetridge_net::{HttpReply, HttpRequest};
 use gannetridge_wire::Name;
@@ -28,7 +28,7 @@
     /// Run a job.
     Submit(Box<Submit>),
     /// Return a job's state, or how many jobs of a queue have not begun.
-    Ask {
+    Query {
         /// The virtual host.
         host: Name,
         /// The path.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Row {
     /// The configuration.
-    Queues(Queues),
+    Configuration(Configuration),
     /// A target.
     Target(TargetChange),
     /// A host.
--- a/crates/dispatcher/src/store_task.rs
+++ b/crates/dispatcher/src/store_task.rs
@@ -194,7 +194,7 @@
         let mut targets = Vec::new();
         for row in rows.rows {
             match row {
-                Row::Queues(queues) => events.push(Event::QueuesRead(queues)),
+                Row::Configuration(queues) => events.push(Event::ConfigurationRead(queues)),
                 Row::Target(change) => targets.push(change),
                 Row::Host(host) => hosts.push(host),
                 Row::Faulty(key) => warn!(event = "faulty-row", ?table, %key),
