--- a/crates/dispatcher-core/src/dispatcher/caller_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/caller_requests.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Tells whether the host stops before a job with this objective ends.
+    /// Returns whether the host stops before a job with this objective ends.
     fn stops_before(&self, now: Millis, objective_ms: Millis) -> bool {
         let grace_period_ms = self.settings.bounds.grace_period_ms;
         self.stopping.as_ref().is_some_and(|stopping| {
--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -101,7 +101,7 @@
         &self.own
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns whether callers should be sent here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.configuration.is_some() && self.stopping.is_none()
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Takes in what any reply tells of its sender, or that there is none.
+    /// Handles what any reply tells of its sender, or that there is none.
     fn hear_reply(
         &mut self,
         now: Millis,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Takes in what a reply says to its request.
+    /// Handles what a reply says to its request.
     fn use_reply(
         &mut self,
         now: Millis,
@@ -281,7 +281,7 @@
     reply.ok().map(|reply| reply.body)
 }
 
-/// Tells whether a peer has carried out what it was asked.
+/// Returns whether a peer has carried out what it was asked.
 fn is_acknowledged(reply: &Result<Reply, SendFailure>) -> bool {
     let reply = reply.as_ref();
     reply.is_ok_and(|reply| !matches!(reply.body, ReplyBody::Stale))
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -31,7 +31,7 @@
         self.reply(now, request_id, body);
     }
 
-    /// Takes in what any request tells of its sender; returns false if it is of an
+    /// Handles what any request tells of its sender; returns false if it is of an
     /// earlier incarnation or session.
     fn hear_request(&mut self, now: Millis, name: &Name, envelope: &Envelope) -> bool {
         let Some(peer) = self.peers.get_mut(name) else {
--- a/crates/dispatcher-core/src/dispatcher/placement.rs
+++ b/crates/dispatcher-core/src/dispatcher/placement.rs
@@ -65,7 +65,7 @@
         self.advertise(now, &pass.left);
     }
 
-    /// Tells whether tasks may be started on this host's targets: not while it is
+    /// Returns whether tasks may be started on this host's targets: not while it is
     /// stopping, unless no other host could.
     fn starts_here(&self, now: Millis) -> bool {
         self.stopping.is_none() || self.peers.staying(now, false).is_empty()
--- a/crates/dispatcher-core/src/jobs/attempts.rs
+++ b/crates/dispatcher-core/src/jobs/attempts.rs
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Takes in whether a peer started a task that it was asked to start.
+    /// Records whether a peer started a task that it was asked to start.
     pub fn placed(&mut self, now: Millis, id: &AttemptId, peer: &Name, started: bool) {
         let Some(Found { job, index }) = self.find(id) else {
             if started {
@@ -79,7 +79,7 @@
         self.set(now, &job, index, state);
     }
 
-    /// Takes in the end of an attempt.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, now: Millis, end: &AttemptEnd) {
         let Some(Found { job: id, index }) = self.find(&end.id) else {
             return;
--- a/crates/dispatcher-core/src/jobs/job.rs
+++ b/crates/dispatcher-core/src/jobs/job.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Tells whether an attempt runs, or a peer is asked to start one.
+    /// Returns whether an attempt runs, or a peer is asked to start one.
     pub(super) fn is_running(&self) -> bool {
         matches!(self, Self::Running(_) | Self::HandedOver(_))
     }
@@ -153,7 +153,7 @@
         open.map(|task| self.spec.steps[task.step].estimate_ms)
     }
 
-    /// Tells whether a task may have begun: only where none can have, the job may
+    /// Returns whether a task may have begun: only where none can have, the job may
     /// be said not to have run.
     pub(super) fn may_have_begun(&self) -> bool {
         let handed_over = |task: &Task| matches!(task.state, TaskState::HandedOver(_));
--- a/crates/dispatcher-core/src/jobs/mod.rs
+++ b/crates/dispatcher-core/src/jobs/mod.rs
@@ -88,7 +88,7 @@
         self.jobs.len()
     }
 
-    /// Tells whether no job is under way.
+    /// Returns whether no job is under way.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
--- a/crates/dispatcher-core/src/jobs/waiting.rs
+++ b/crates/dispatcher-core/src/jobs/waiting.rs
@@ -27,7 +27,7 @@
 }
 
 impl Jobs {
-    /// Tells whether no task waits.
+    /// Returns whether no task waits.
     #[must_use]
     pub fn none_waits(&self) -> bool {
         self.ready.is_empty()
--- a/crates/dispatcher-core/src/message.rs
+++ b/crates/dispatcher-core/src/message.rs
@@ -209,7 +209,7 @@
         /// started.
         report: bool,
     },
-    /// Tells how the receiver's attempts ended.
+    /// Reports how the receiver's attempts ended.
     Ended(Vec<AttemptEnd>),
     /// Asks for the configuration.
     #[serde(rename = "Queues")]
--- a/crates/dispatcher-core/src/peers/mod.rs
+++ b/crates/dispatcher-core/src/peers/mod.rs
@@ -121,7 +121,7 @@
         self.seeds = others.copied().collect();
     }
 
-    /// Takes in a host; a higher incarnation replaces what was known.
+    /// Records a host; a higher incarnation replaces what was known.
     pub fn learn(&mut self, now: Millis, info: &HostInfo) {
         if info.name == self.own.name {
             return;
@@ -167,7 +167,7 @@
         others.chain(own).collect()
     }
 
-    /// Tells whether another host holds a target: one that lives, or one that this
+    /// Returns whether another host holds a target: one that lives, or one that this
     /// host may only not hear.
     #[must_use]
     pub fn is_leased_elsewhere(&self, now: Millis, target: &Name) -> bool {
@@ -189,7 +189,7 @@
         alive.count()
     }
 
-    /// Takes in what every reply says; returns whether the peer's process is
+    /// Handles what every reply says; returns whether the peer's process is
     /// another one than before.
     pub fn replied(&mut self, now: Millis, name: &Name, reply: &Reply) -> bool {
         let Some(peer) = self.peers.get_mut(name) else {
@@ -208,7 +208,7 @@
         another
     }
 
-    /// Takes in what the reply to a heartbeat says.
+    /// Handles what the reply to a heartbeat says.
     pub fn heartbeat_replied(&mut self, now: Millis, name: &Name, reply: &HeartbeatReply) {
         for host in &reply.hosts {
             self.learn(now, host);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Tells whether any peer is believed to have such resources.
+    /// Returns whether any peer is believed to have such resources.
     #[must_use]
     pub fn may_fit(&self, now: Millis, resources: &Resources) -> bool {
         let peers = self.peers.values();
@@ -275,7 +275,7 @@
         due
     }
 
-    /// Takes in the peers at which attempts of this host may run.
+    /// Records the peers at which attempts of this host may run.
     pub fn set_used(&mut self, now: Millis, used: &HashSet<Name>) {
         for (name, peer) in &mut self.peers {
             if !used.contains(name) {
--- a/crates/dispatcher-core/src/peers/outbox.rs
+++ b/crates/dispatcher-core/src/peers/outbox.rs
@@ -36,13 +36,13 @@
         self.waiting.extend(items);
     }
 
-    /// Tells whether items wait to be sent.
+    /// Returns whether items wait to be sent.
     #[must_use]
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Tells whether items wait and no call is on its way.
+    /// Returns whether items wait and no call is on its way.
     #[must_use]
     pub fn may_send(&self) -> bool {
         self.has_waiting() && self.sent.is_none()
@@ -67,7 +67,7 @@
         self.sent = Some(Sent { call, items });
     }
 
-    /// Takes in whether the peer has acknowledged a call; if not, its items wait
+    /// Records whether the peer has acknowledged a call; if not, its items wait
     /// again. Returns false if they do.
     pub fn replied(&mut self, call: CallId, acknowledged: bool) -> bool {
         let Some(sent) = self.sent.take_if(|sent| sent.call == call) else {
--- a/crates/dispatcher-core/src/peers/owner_lease.rs
+++ b/crates/dispatcher-core/src/peers/owner_lease.rs
@@ -31,13 +31,13 @@
         self.expired &= until <= now;
     }
 
-    /// Tells whether it is valid.
+    /// Returns whether it is valid.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         !self.expired
     }
 
-    /// Lets it expire when its time is over; tells whether it did so now.
+    /// Lets it expire when its time is over; returns whether it did so now.
     pub fn expire(&mut self, now: Millis) -> bool {
         let expires = !self.expired && self.until <= now;
         self.expired |= expires;
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -103,30 +103,30 @@
         }
     }
 
-    /// Tells whether tasks may be handed to it.
+    /// Returns whether tasks may be handed to it.
     #[must_use]
     pub fn takes_tasks(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
         self.heard.is_alive(now, intervals) && !self.leaving
     }
 
-    /// Tells whether it may hold targets: it lives, or is slow, and stays.
+    /// Returns whether it may hold targets: it lives, or is slow, and stays.
     pub(super) fn stays(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
         !self.leaving && self.heard.keeps_targets(now, intervals)
     }
 
-    /// Tells whether it said that it holds a target's lease.
+    /// Returns whether it said that it holds a target's lease.
     pub(super) fn has_leased(&self, target: &Name) -> bool {
         self.leased.contains(target)
     }
 
-    /// Takes in a newer incarnation, whose sessions begin anew.
+    /// Handles a newer incarnation, whose sessions begin anew.
     pub(super) fn begin_incarnation(&mut self, incarnation: u64) {
         self.info.incarnation = incarnation;
         self.owner_lease.session = 0;
         self.demand = None;
     }
 
-    /// Takes in its clock, as it was when it sent what just came.
+    /// Records its clock, as it was when it sent what just came.
     pub fn hear_clock(&mut self, now: Millis, incarnation: u64, clock: Millis) {
         let older = self
             .echoed_clock
@@ -144,7 +144,7 @@
         self.heard.clock.unwrap_or(0)
     }
 
-    /// Takes in what every reply says.
+    /// Handles what every reply says.
     pub(super) fn replied(&mut self, now: Millis, reply: &Reply) {
         self.hear_clock(now, reply.incarnation, reply.clock);
         self.heard.last = now;
@@ -153,7 +153,7 @@
         self.free_heard = now;
     }
 
-    /// Takes in its heartbeat.
+    /// Handles its heartbeat.
     pub fn heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         self.leaving = heartbeat.leaving;
         self.version = heartbeat.version;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Takes in its reply to a heartbeat.
+    /// Handles its reply to a heartbeat.
     pub(super) fn heartbeat_replied(&mut self, reply: &HeartbeatReply) {
         self.leaving = reply.leaving;
         self.version = reply.version;
@@ -195,7 +195,7 @@
         self.schedule.make_due(now);
     }
 
-    /// Tells whether a heartbeat is due, and plans the next one if it is.
+    /// Returns whether a heartbeat is due, and plans the next one if it is.
     pub(super) fn take_due_heartbeat(
         &mut self,
         now: Millis,
@@ -217,13 +217,13 @@
         self.schedule.postpone(now, intervals);
     }
 
-    /// Tells whether its clock is to be asked for: not if that was done within
+    /// Returns whether its clock is to be asked for: not if that was done within
     /// `pause_ms`. Records that it is.
     pub fn ask_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
         self.schedule.ask_clock(now, pause_ms)
     }
 
-    /// Takes in its demand, or that it has none.
+    /// Records its demand, or that it has none.
     pub fn set_demand(&mut self, now: Millis, demand: Option<Demand>) {
         self.demand = demand.map(|demand| HeardDemand {
             demand,
@@ -232,7 +232,7 @@
         });
     }
 
-    /// Tells whether it has a demand, or had one that isn't looked at yet.
+    /// Returns whether it has a demand, or had one that isn't looked at yet.
     #[must_use]
     pub fn has_demand(&self) -> bool {
         self.demand.is_some()
@@ -264,13 +264,13 @@
         }
     }
 
-    /// Tells whether it is believed to have resources of any pool free.
+    /// Returns whether it is believed to have resources of any pool free.
     pub(super) fn may_fit(&self, resources: &crate::spec::Resources) -> bool {
         let mut free = self.free.iter();
         free.any(|free| free.resources.fits(resources))
     }
 
-    /// Tells whether it is believed to have the resources for an order.
+    /// Returns whether it is believed to have the resources for an order.
     pub(super) fn has_resources(&self, order: &TaskOrder) -> bool {
         self.free.iter().any(|free| fits(free, order))
     }
--- a/crates/dispatcher-core/src/peers/schedule.rs
+++ b/crates/dispatcher-core/src/peers/schedule.rs
@@ -32,7 +32,7 @@
         self.next = now;
     }
 
-    /// Tells whether a heartbeat is due, and plans the next one if it is.
+    /// Returns whether a heartbeat is due, and plans the next one if it is.
     pub(super) fn take_due(&mut self, now: Millis, interval: Millis) -> bool {
         let due = self.next <= now;
         if due {
@@ -50,7 +50,7 @@
         self.next = next.min(latest.max(self.next));
     }
 
-    /// Tells whether the peer's clock is to be asked for: not if that was done within
+    /// Returns whether the peer's clock is to be asked for: not if that was done within
     /// `pause_ms`. Records that it is.
     pub(super) fn ask_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
         if self.clock_asked.is_some_and(|at| at + pause_ms > now) {
--- a/crates/dispatcher-core/src/rules/admission.rs
+++ b/crates/dispatcher-core/src/rules/admission.rs
@@ -88,7 +88,7 @@
     Ok(addressed)
 }
 
-/// Tells whether a host that began to stop at `stopping_since` ends before a job
+/// Returns whether a host that began to stop at `stopping_since` ends before a job
 /// with this objective does.
 #[must_use]
 pub fn stops_before(
--- a/crates/dispatcher-core/src/rules/liveness.rs
+++ b/crates/dispatcher-core/src/rules/liveness.rs
@@ -41,7 +41,7 @@
 }
 
 impl Heard {
-    /// Tells whether the peer is taken to live.
+    /// Returns whether the peer is taken to live.
     #[must_use]
     pub fn is_alive(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
         let Some(acknowledged) = self.acknowledged.filter(|_| !self.refused) else {
@@ -54,7 +54,7 @@
         fresh || (!in_use && acknowledged + intervals.alive > now)
     }
 
-    /// Tells whether its clock was heard so lately that a task may be handed to
+    /// Returns whether its clock was heard so lately that a task may be handed to
     /// it now.
     #[must_use]
     pub fn has_fresh_clock(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
@@ -62,14 +62,14 @@
         self.clock.is_some_and(|heard| heard + fresh > now)
     }
 
-    /// Tells whether its targets are left to it, though it may get no tasks.
+    /// Returns whether its targets are left to it, though it may get no tasks.
     #[must_use]
     pub fn keeps_targets(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
         let heard = self.acknowledged.is_some() && self.last + intervals.dead > now;
         heard && !self.refused
     }
 
-    /// Tells whether it was heard lately and isn't known to be gone.
+    /// Returns whether it was heard lately and isn't known to be gone.
     #[must_use]
     pub fn was_there(&self, now: Millis) -> bool {
         let heard = self.acknowledged.is_some() && self.last + LEFT_IN_MINORITY_MS > now;
@@ -77,7 +77,7 @@
     }
 }
 
-/// Tells whether a host hears less than half of the hosts that were there of
+/// Returns whether a host hears less than half of the hosts that were there of
 /// late, itself counted. Hosts whose address refuses connections are gone, not
 /// unheard.
 #[must_use]
--- a/crates/dispatcher-core/src/rules/peer_choice.rs
+++ b/crates/dispatcher-core/src/rules/peer_choice.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Tells whether a demand is to be advertised, given the last one and when that
+/// Returns whether a demand is to be advertised, given the last one and when that
 /// was advertised.
 #[must_use]
 pub fn is_advertised(now: Millis, demand: &Demand, last: Option<(&Demand, Millis)>) -> bool {
--- a/crates/dispatcher-core/src/rules/target_choice.rs
+++ b/crates/dispatcher-core/src/rules/target_choice.rs
@@ -57,7 +57,7 @@
         + FAILURE_WEIGHT * f64::from(target.failures)
 }
 
-/// Tells whether a task may run on a target, now or once it has the resources.
+/// Returns whether a task may run on a target, now or once it has the resources.
 #[must_use]
 pub fn suits(entry: &TargetEntry, order: &TaskOrder) -> bool {
     let required = order.requirement.as_ref();
@@ -66,13 +66,13 @@
         && !order.avoid.contains(&entry.id)
 }
 
-/// Tells whether a target could ever run a task.
+/// Returns whether a target could ever run a task.
 #[must_use]
 pub fn could_run(entry: &TargetEntry, order: &TaskOrder) -> bool {
     suits(entry, order) && entry.capacity.fits(&order.resources)
 }
 
-/// Tells whether a task's data lies in another rack than the target.
+/// Returns whether a task's data lies in another rack than the target.
 #[must_use]
 pub fn is_far(entry: &TargetEntry, order: &TaskOrder) -> bool {
     let rack = order.rack.as_ref();
@@ -85,7 +85,7 @@
 pub struct NotFound(Vec<Resources>);
 
 impl NotFound {
-    /// Tells whether `needed` may be found: asks only if no smaller need was
+    /// Returns whether `needed` may be found: asks only if no smaller need was
     /// refused.
     pub fn may_find(&mut self, needed: &Resources, ask: impl FnOnce(&Resources) -> bool) -> bool {
         if self.0.iter().any(|refused| needed.fits(refused)) {
--- a/crates/dispatcher-core/src/rules/target_health.rs
+++ b/crates/dispatcher-core/src/rules/target_health.rs
@@ -116,7 +116,7 @@
         self.misses = 0;
     }
 
-    /// Records a call without reply; tells whether the target is silent. One that
+    /// Records a call without reply; returns whether the target is silent. One that
     /// isn't held yet (`held`) is silent after one miss.
     pub fn missed(&mut self, now: Millis, held: bool) -> bool {
         self.misses += 1;
@@ -144,7 +144,7 @@
         self.failures
     }
 
-    /// Tells whether a task may be started; `idle` says that none runs there.
+    /// Returns whether a task may be started; `idle` says that none runs there.
     #[must_use]
     pub fn takes_task(&self, now: Millis, idle: bool) -> bool {
         let well = self.failures < FAILURES_TO_SUSPEND && self.slowdown < ONE_TASK_SLOWDOWN;
--- a/crates/dispatcher-core/src/spec.rs
+++ b/crates/dispatcher-core/src/spec.rs
@@ -26,7 +26,7 @@
 }
 
 impl Resources {
-    /// Tells whether `need` fits into these resources.
+    /// Returns whether `need` fits into these resources.
     #[must_use]
     pub fn fits(&self, need: &Self) -> bool {
         need.cpu <= self.cpu && need.memory_mb <= self.memory_mb && need.gpus <= self.gpus
--- a/crates/dispatcher-core/src/targets/attempt.rs
+++ b/crates/dispatcher-core/src/targets/attempt.rs
@@ -82,7 +82,7 @@
         wanted
     }
 
-    /// Tells whether a listing that was asked for at `asked` would show it if it
+    /// Returns whether a listing that was asked for at `asked` would show it if it
     /// ran: what came in the same millisecond may have come after.
     pub(super) fn would_be_listed(&self, asked: Millis) -> bool {
         let stopped = matches!(self.stop, StopStage::Done(at) if at < asked);
@@ -90,7 +90,7 @@
         stopped || confirmed || self.latest_begin < asked
     }
 
-    /// Tells whether it counts for a limit of tasks of one step.
+    /// Returns whether it counts for a limit of tasks of one step.
     pub(super) fn counts_for(&self, limit: &SpreadLimit) -> bool {
         self.spread.as_ref() == Some(&limit.step)
     }
--- a/crates/dispatcher-core/src/targets/claims.rs
+++ b/crates/dispatcher-core/src/targets/claims.rs
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Takes in that there are other targets.
+    /// Records that there are other targets.
     pub(super) fn targets_changed(&mut self) {
         self.stale = true;
     }
 
-    /// Takes in that a target is gone, or no longer this host's.
+    /// Records that a target is gone, or no longer this host's.
     pub(super) fn forget(&mut self, target: &Name) {
         self.misassigned.remove(target);
     }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Takes in that a target has seen a higher token than a call of this host
+    /// Records that a target has seen a higher token than a call of this host
     /// carried; see [`contention`].
     pub(super) fn token_superseded(&mut self, now: Millis, id: &Name, sent: u64) {
         let Some(target) = self.targets.get(id) else {
@@ -171,7 +171,7 @@
         self.record_target(id, TargetBelief::Reacquiring, BeliefSource::StaleToken);
     }
 
-    /// Takes in that the target's process is another one by now.
+    /// Records that the target's process is another one by now.
     pub(super) fn incarnation_over(&mut self, now: Millis, id: &Name) {
         if let Some(target) = self.targets.get_mut(id) {
             let reports = target.end_all(now, EndEvidence::WrongIncarnation);
--- a/crates/dispatcher-core/src/targets/lease.rs
+++ b/crates/dispatcher-core/src/targets/lease.rs
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Tells whether this host holds it.
+    /// Returns whether this host holds it.
     pub(super) fn is_held(&self) -> bool {
         self.stage == LeaseStage::Held
     }
 
-    /// Tells whether this host neither holds nor acquires it.
+    /// Returns whether this host neither holds nor acquires it.
     pub(super) fn is_free(&self) -> bool {
         self.stage == LeaseStage::NotHeld
     }
@@ -143,7 +143,7 @@
         self.give_up();
     }
 
-    /// Takes in that the target has this host's token; `settled` says that it
+    /// Records that the target has this host's token; `settled` says that it
     /// runs nothing that this host didn't start.
     pub(super) fn confirmed(&mut self, now: Millis, settled: bool) {
         let was_held = self.is_held();
@@ -177,7 +177,7 @@
         self.attempts_over = self.attempts_over.max(attempts_over);
     }
 
-    /// Tells whether all attempts at the target are over.
+    /// Returns whether all attempts at the target are over.
     pub(super) fn attempts_are_over(&self, now: Millis) -> bool {
         self.attempts_over < now
     }
--- a/crates/dispatcher-core/src/targets/list.rs
+++ b/crates/dispatcher-core/src/targets/list.rs
@@ -31,7 +31,7 @@
 }
 
 impl StoreView {
-    /// Tells whether a target that isn't listed is gone. With the store out, or
+    /// Returns whether a target that isn't listed is gone. With the store out, or
     /// back only now, its silence in the list says nothing.
     pub(super) fn list_is_settled(&self, now: Millis) -> bool {
         self.reachable && self.back_at + BACK_AFTER_MS <= now
@@ -39,7 +39,7 @@
 }
 
 impl TargetLeases {
-    /// Takes in whether the store answers.
+    /// Records whether the store answers.
     pub fn store_reachable(&mut self, now: Millis, reachable: bool) {
         if reachable && !self.store.reachable {
             self.store.back_at = now;
@@ -47,7 +47,7 @@
         self.store.reachable = reachable;
     }
 
-    /// Takes in changes of the list.
+    /// Handles changes of the list.
     pub fn list_changed(&mut self, now: Millis, changes: Vec<TargetChange>) {
         for change in changes {
             match change {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in the whole list.
+    /// Handles the whole list.
     pub fn list_read(&mut self, now: Millis, entries: Vec<TargetEntry>) {
         let listed: Vec<Name> = entries.iter().map(|entry| entry.id.clone()).collect();
         for entry in entries {
--- a/crates/dispatcher-core/src/targets/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -176,14 +176,14 @@
         free.filter(|free| free.resources.cpu > 0).collect()
     }
 
-    /// Tells whether any target of this host has such resources free.
+    /// Returns whether any target of this host has such resources free.
     #[must_use]
     pub fn may_fit(&self, now: Millis, resources: &Resources) -> bool {
         let mut leased = self.leased_targets();
         leased.any(|target| target.free().fits(resources) && self.is_usable(now, target))
     }
 
-    /// Tells whether any known target could ever run the order; true while no
+    /// Returns whether any known target could ever run the order; true while no
     /// target is known.
     #[must_use]
     pub fn could_run(&self, order: &TaskOrder) -> bool {
@@ -202,7 +202,7 @@
         leased.filter(move |target| self.is_usable(now, target))
     }
 
-    /// Tells whether tasks may be started on a target: it is listed and stays, it
+    /// Returns whether tasks may be started on a target: it is listed and stays, it
     /// answers and is well, and it isn't to be left to another host.
     fn is_usable(&self, now: Millis, target: &Target) -> bool {
         let listed = target.unlisted_since.is_none() || !self.store.list_is_settled(now);
--- a/crates/dispatcher-core/src/targets/renewals.rs
+++ b/crates/dispatcher-core/src/targets/renewals.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Tells whether a renewal is to be sent now.
+/// Returns whether a renewal is to be sent now.
 ///
 /// A target with attempts gets one as soon as nothing stands against it; only one
 /// that doesn't answer, or is idle, has a time to wait for.
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -19,7 +19,7 @@
 const ACQUIRE_RETRY_MS: Millis = 500;
 
 impl TargetLeases {
-    /// Takes in a target's reply, or that there is none.
+    /// Handles a target's reply, or that there is none.
     pub fn replied(&mut self, now: Millis, call: CallId, reply: Result<TargetReply, SendFailure>) {
         let Some(sent) = self.calls.remove(&call) else {
             return;
@@ -95,7 +95,7 @@
         self.reports.extend(reports);
     }
 
-    /// Takes in that a call had no reply.
+    /// Records that a call had no reply.
     fn missed(&mut self, now: Millis, id: &Name, by: BeliefSource) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -65,7 +65,7 @@
         self.health.forget_silence();
     }
 
-    /// Tells whether no attempt is known there.
+    /// Returns whether no attempt is known there.
     pub(super) fn is_idle(&self) -> bool {
         self.attempts.is_empty()
     }
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Tells whether tasks may be started, as far as the target itself has shown.
+    /// Returns whether tasks may be started, as far as the target itself has shown.
     pub(super) fn takes_task(&self, now: Millis) -> bool {
         let known = self.lease.is_held() && self.clock.is_some();
         known && self.health.takes_task(now, self.is_idle())
     }
 
-    /// Tells whether an order fits now.
+    /// Returns whether an order fits now.
     pub(super) fn fits(&self, order: &TaskOrder) -> bool {
         let spread = order.spread.as_ref().is_none_or(|limit| {
             let attempts = self.attempts.values();
@@ -138,12 +138,12 @@
         self.reservation = None;
     }
 
-    /// Tells whether the free resources are reserved for anyone.
+    /// Returns whether the free resources are reserved for anyone.
     pub(super) fn is_reserved(&self) -> bool {
         self.reservation.is_some()
     }
 
-    /// Tells whether the free resources are reserved for another host.
+    /// Returns whether the free resources are reserved for another host.
     pub(super) fn is_reserved_for_others(&self, now: Millis, host: &Name) -> bool {
         let kept = self.reservation.as_ref();
         kept.is_some_and(|kept| kept.peer != *host && kept.until > now)
@@ -180,7 +180,7 @@
         Some(earliest + times.target_lease)
     }
 
-    /// Takes in a reply's clock.
+    /// Records a reply's clock.
     pub(super) fn heard_clock(&mut self, now: Millis, clock: Millis) {
         self.clock = Some(ClockReading {
             received: now,
@@ -189,7 +189,7 @@
         self.health.answered();
     }
 
-    /// Records a call without reply; tells whether the target is silent.
+    /// Records a call without reply; returns whether the target is silent.
     pub(super) fn missed(&mut self, now: Millis) -> bool {
         self.health.missed(now, self.lease.is_held())
     }
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Takes in whether a stop was carried out; one that wasn't is sent again.
+    /// Records whether a stop was carried out; one that wasn't is sent again.
     pub(super) fn stop_replied(&mut self, now: Millis, id: &AttemptId, call: CallId, done: bool) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Tells whether an end is awaited that a listing shows sooner than the target
+    /// Returns whether an end is awaited that a listing shows sooner than the target
     /// would by itself.
     pub(super) fn awaits_end(&self) -> bool {
         let mut attempts = self.attempts.values();
--- a/crates/dispatcher-sim/src/target.rs
+++ b/crates/dispatcher-sim/src/target.rs
@@ -211,7 +211,7 @@
         (TargetReply::Accepted { clock }, ended)
     }
 
-    /// Extends the hold and takes note of ends; tells whether it may list.
+    /// Renews the lease and forgets acknowledged ends; returns false for a stale token.
     pub fn renew(
         &mut self,
         now: Millis,
--- a/crates/dispatcher/src/mailbox.rs
+++ b/crates/dispatcher/src/mailbox.rs
@@ -64,7 +64,7 @@
         self.0.set(true);
     }
 
-    /// Tells whether the host is stopping.
+    /// Returns whether the host is stopping.
     #[must_use]
     pub fn is_set(&self) -> bool {
         self.0.get()
--- a/crates/dispatcher/src/peer_api.rs
+++ b/crates/dispatcher/src/peer_api.rs
@@ -80,7 +80,7 @@
     })
 }
 
-/// Tells why a call has no reply.
+/// Returns why a call has no reply.
 #[must_use]
 pub fn send_failure(error: &CallError) -> SendFailure {
     match error {
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -34,7 +34,7 @@
 }
 
 impl ReadError {
-    /// Tells whether nothing listens at the address.
+    /// Returns whether nothing listens at the address.
     #[must_use]
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Io(error) if error.kind() == std::io::ErrorKind::ConnectionRefused)
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -185,7 +185,7 @@
     }
 }
 
-/// Tells whether an idle connection is still open: nothing may have come on
+/// Returns whether an idle connection is still open: nothing may have come on
 /// it, neither bytes nor its end.
 async fn is_alive(connection: &mut Connection) -> bool {
     let mut peek = std::pin::pin!(connection.reader.peek_data());
