--- a/crates/entry-core/src/host/ends.rs
+++ b/crates/entry-core/src/host/ends.rs
@@ -10,7 +10,8 @@
 use super::Host;
 use crate::action::Note;
 use crate::charts::{TaskEvent, TaskState};
-use crate::job::{Job, JobKey, Task};
+use crate::job::{Job, Task};
+use crate::keys::JobKey;
 use crate::ledger::EntryState;
 use crate::retry::spread_ms;
 
--- a/crates/entry-core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -9,9 +9,9 @@
 use crate::action::{Action, Waste};
 use crate::charts::TaskEvent;
 use crate::event::{CallId, SendFailure};
-use crate::job::JobKey;
+use crate::keys::{AccountIndex, JobKey};
 use crate::loans::LoanKey;
-use crate::queue::{AccountIndex, FreeSlots};
+use crate::queue::FreeSlots;
 use crate::targets::TargetIndex;
 
 /// Shortest lease of a task, in ms.
--- a/crates/entry-core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -14,8 +14,9 @@
 use crate::action::{Note, Waste};
 use crate::admission::{judge, Load, Need, Verdict};
 use crate::charts::ShardState;
-use crate::job::{Job, JobAuthority, JobKey, JobPlan};
-use crate::ledger::{Entry, EntryKey, EntryState, Waiter};
+use crate::job::{Job, JobAuthority, JobPlan};
+use crate::keys::{EntryKey, JobKey};
+use crate::ledger::{Entry, EntryState, Waiter};
 use crate::ownership::Right;
 use crate::retry::spread_ms;
 
--- a/crates/entry-core/src/host/timers.rs
+++ b/crates/entry-core/src/host/timers.rs
@@ -9,7 +9,7 @@
 use super::{Call, Host};
 use crate::config_store::CONFIG_HEAD;
 use crate::event::CallId;
-use crate::job::JobKey;
+use crate::keys::JobKey;
 use crate::targets::TargetIndex;
 
 /// Time between looks at what has grown old, in ms.
--- a/crates/entry-core/src/job.rs
+++ b/crates/entry-core/src/job.rs
@@ -10,14 +10,9 @@
 use gannetridge_wire::Name;
 
 use crate::charts::{TaskEvent, TaskState, TASK};
-use crate::ledger::EntryKey;
-use crate::queue::AccountIndex;
+use crate::keys::{AccountIndex, EntryKey};
 use crate::targets::TargetIndex;
 
-/// A running job's number on this host.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct JobKey(pub u64);
-
 /// One task of a running job.
 #[derive(Clone, Debug)]
 pub struct Task {
--- a/crates/entry-core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -5,20 +5,10 @@
 
 use gannetridge_entry_wire::answer::Refusal;
 use gannetridge_entry_wire::peer::LedgerRecord;
-use gannetridge_entry_wire::{Answer, SubmissionId, Time};
-use gannetridge_wire::Name;
+use gannetridge_entry_wire::{Answer, Time};
 
 use crate::event::Token;
-use crate::job::JobKey;
-
-/// Names an entry: ids are the accounts' own.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EntryKey {
-    /// The account.
-    pub account: Name,
-    /// The submission.
-    pub submission: SubmissionId,
-}
+use crate::keys::{EntryKey, JobKey};
 
 /// Who waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/entry-core/src/lib.rs
+++ b/crates/entry-core/src/lib.rs
@@ -20,6 +20,7 @@
 mod health;
 mod host;
 mod job;
+mod keys;
 mod ledger;
 mod loans;
 mod ownership;
--- a/crates/entry-core/src/queue.rs
+++ b/crates/entry-core/src/queue.rs
@@ -6,7 +6,7 @@
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 
-use crate::job::JobKey;
+use crate::keys::{AccountIndex, JobKey};
 
 /// Part of a host's slots that an account just over its quota leaves free.
 const LEAST_RESERVE: f64 = 0.1;
@@ -84,10 +84,6 @@
     }
 }
 
-/// An account's position in the queue.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AccountIndex(usize);
-
 /// Waiting jobs by account. Accounts within their quota go before those over
 /// it, the urgent before the rest, and those that use the least of their quota
 /// before those that use more. Within an account the nearest deadline goes
