--- a/crates/dispatcher-core/src/configuration.rs
+++ b/crates/dispatcher-core/src/configuration.rs
@@ -1,4 +1,7 @@
 //! The configuration: queues and the pools of targets behind them.
+//!
+//! A version is one value that replaces the one before it whole. Hosts send it to each
+//! other, so fields stand by position: see [`crate::message`].
 
 use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
--- a/crates/dispatcher-core/src/dispatcher/caller_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/caller_requests.rs
@@ -1,4 +1,7 @@
-//! What callers ask of a host; see [`crate::rules::admission`].
+//! What callers ask of a host: submits, queries, cancels.
+//!
+//! Rejects what [`crate::rules::admission`] rejects, and hands the rest to
+//! [`crate::jobs`], which answers later.
 
 use gannetridge_wire::Name;
 
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -1,4 +1,7 @@
 //! What a host asks of its peers, and their replies.
+//!
+//! Owns the calls that are on their way. Every reply proves that the peer lives and
+//! brings its clock and its free resources; what else it says depends on the request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -1,4 +1,8 @@
 //! What peers ask of a host.
+//!
+//! Every request proves that its sender lives, and renews its owner lease by the echo
+//! of this host's clock. One of an earlier incarnation or session is stale: nothing is
+//! done for it.
 
 use gannetridge_wire::Name;
 
--- a/crates/dispatcher-core/src/dispatcher/timers.rs
+++ b/crates/dispatcher-core/src/dispatcher/timers.rs
@@ -1,4 +1,8 @@
 //! What is due from time to time, and what is handed on after each event.
+//!
+//! After each event the parts leave things for each other: ends of attempts for their
+//! owners, attempts to be stopped, waiting tasks. They are handed on until nothing is
+//! left, then sent.
 
 use gannetridge_wire::Name;
 
--- a/crates/dispatcher-core/src/jobs/attempts.rs
+++ b/crates/dispatcher-core/src/jobs/attempts.rs
@@ -1,4 +1,7 @@
 //! Where tasks run, and what the ends of their attempts lead to.
+//!
+//! Only a task's latest attempt counts: news of earlier ones is ignored. What an end
+//! leads to is decided by [`crate::rules::retry`].
 
 use std::collections::HashSet;
 
--- a/crates/dispatcher-core/src/jobs/ending.rs
+++ b/crates/dispatcher-core/src/jobs/ending.rs
@@ -1,4 +1,8 @@
 //! How jobs end, and what is remembered of them.
+//!
+//! When and with which answer is decided by [`crate::rules::giving_up`]. Answers of
+//! completed and cancelled jobs are remembered for callers that send them again; of
+//! others the number from which their attempts are counted then.
 
 use std::collections::BTreeMap;
 
--- a/crates/dispatcher-core/src/jobs/waiting.rs
+++ b/crates/dispatcher-core/src/jobs/waiting.rs
@@ -1,4 +1,7 @@
 //! Tasks that wait for targets: their order, and the orders that start them.
+//!
+//! Jobs with waiting tasks are kept sorted by [`crate::rules::priority`], so that one
+//! event doesn't sort them anew.
 
 use std::cmp::Ordering;
 
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -1,4 +1,5 @@
-//! One other host, as this host knows it.
+//! One other host, as this host knows it: what was heard of it, the leases between the
+//! two, and what is to be sent to it.
 
 use std::collections::HashSet;
 
--- a/crates/dispatcher-core/src/settings.rs
+++ b/crates/dispatcher-core/src/settings.rs
@@ -1,4 +1,5 @@
-//! What a host is told when it starts.
+//! What a host is told when it starts. The process makes it from its settings file;
+//! [`crate::rules::leases`] reckons its times from the bounds.
 
 use std::net::SocketAddr;
 
--- a/crates/dispatcher-core/src/targets/claims.rs
+++ b/crates/dispatcher-core/src/targets/claims.rs
@@ -1,4 +1,7 @@
 //! Which targets this host acquires, gives up and takes back.
+//!
+//! Owns the assignment as this host reckons it ([`crate::rules::assignment`]); what it
+//! does when another host took a target is decided by [`crate::rules::contention`].
 
 use std::collections::{HashMap, HashSet};
 
--- a/crates/dispatcher-core/src/targets/ends.rs
+++ b/crates/dispatcher-core/src/targets/ends.rs
@@ -1,4 +1,7 @@
 //! How attempts on a target end, and what that shows of the target.
+//!
+//! An attempt ends when the target lists its end, when a listing that would show it
+//! doesn't, or when the target's lease expired. Anything less leaves it running.
 
 use crate::decision::EndEvidence;
 use crate::event::{ListedEnd, ListedOutcome};
--- a/crates/dispatcher-core/src/targets/lease.rs
+++ b/crates/dispatcher-core/src/targets/lease.rs
@@ -1,4 +1,7 @@
-//! A host's lease on one target: how far it has got, and its renewals.
+//! A host's lease on one target: how far it has got, its fencing token, its renewals.
+//!
+//! The stages are those of `charts/target-lease.toml`, interpreted. The lease itself
+//! lives at the target; this is what the host knows of it.
 
 use std::sync::LazyLock;
 
--- a/crates/dispatcher-core/src/targets/list.rs
+++ b/crates/dispatcher-core/src/targets/list.rs
@@ -1,4 +1,7 @@
-//! The platform's list of targets.
+//! The platform's list of targets, as far as this host heard it.
+//!
+//! An entry that goes missing while the store is out, or just back, says nothing: the
+//! target is used as long as it answers.
 
 use gannetridge_wire::Name;
 
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -1,4 +1,7 @@
 //! What targets reply to renewals, starts and stops.
+//!
+//! A call without reply may have been carried out, or be carried out later: a start
+//! without reply counts as running until a listing shows otherwise.
 
 use gannetridge_wire::Name;
 
--- a/crates/dispatcher-core/src/targets/stops.rs
+++ b/crates/dispatcher-core/src/targets/stops.rs
@@ -1,4 +1,7 @@
 //! Stops of attempts.
+//!
+//! A stop is sent until the target has carried it out; the attempt counts as running
+//! until its end is listed. One that is stopped before it came is never started.
 
 use gannetridge_wire::Name;
 
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -1,4 +1,5 @@
-//! One target as this host sees it.
+//! One target as this host sees it: its entry in the list, the lease on it, its health,
+//! its clock, and the attempts that this host started there.
 
 use std::collections::BTreeMap;
 
--- a/crates/dispatcher/src/caller_api.rs
+++ b/crates/dispatcher/src/caller_api.rs
@@ -1,4 +1,7 @@
-//! Serves callers: one task a request.
+//! Serves callers: one task a request, which ends with the caller's connection.
+//!
+//! The platform's words are decoded and encoded by [`PlatformClient`]; the dispatcher's
+//! task answers.
 
 use gannetridge_dispatcher_core::{Answer, Event, RequestId};
 use gannetridge_net::{HttpReply, HttpRequest};
--- a/crates/dispatcher/src/core_task.rs
+++ b/crates/dispatcher/src/core_task.rs
@@ -1,4 +1,8 @@
 //! The task that owns the dispatcher: gives it events, and carries its actions out.
+//!
+//! It owns the steady clock, the requests that wait for answers and the counts of
+//! messages. Each call runs in a task of its own, which sends its outcome here. It ends
+//! when the dispatcher has stopped, or all senders are gone.
 
 use std::collections::HashMap;
 use std::future::Future;
--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -1,4 +1,5 @@
-//! Puts a host's process together and runs it.
+//! Puts a host's process together and runs it: its log, its sockets, the tasks that
+//! follow the store, and the one that owns the dispatcher.
 
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -1,4 +1,7 @@
-//! The settings file of a dispatcher, TOML.
+//! The settings file of a dispatcher, TOML, in kebab-case and with defaults.
+//!
+//! `docs/OPERATIONS.md` lists the settings; unknown keys are refused. Their names are
+//! the operators': where the code has a better word, it is translated here.
 
 use std::net::SocketAddr;
 
--- a/crates/dispatcher/src/signals.rs
+++ b/crates/dispatcher/src/signals.rs
@@ -1,4 +1,5 @@
-//! Signals, as flags that the core's task looks at.
+//! Signals, as flags that the task that owns the dispatcher looks at: SIGTERM and SIGINT
+//! stop the host in order, SIGHUP has the settings file read again.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs randomised runs by seed.
+//! `gannetridge-lab`: the command line of both simulators, for runs by hand.
 
 mod cmd;
 
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -39,6 +39,7 @@
     pub idle_per_address: usize,
 }
 
+// All chosen, not measured.
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,5 @@
-//! A bounded HTTP server.
+//! A bounded HTTP server: one task a connection, which ends with it; bounds on heads,
+//! bodies, idle time and connections from one address.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -37,6 +38,8 @@
     pub connections_per_peer: usize,
 }
 
+// All chosen, not measured: far above what callers and peers send, low enough that one
+// address can't exhaust memory.
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,10 +1,11 @@
-//! The encoding of messages between entry hosts.
+//! The encoding of messages between hosts, of both families: MessagePack, fields by
+//! position, behind the protocol's version.
 
 use serde::de::{DeserializeOwned, IgnoredAny};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Version of the messages between entry hosts.
+/// Version of the messages between hosts.
 pub const PEER_PROTOCOL: u16 = 2;
 
 /// The version's name in the encoding of other versions, where names stand.
