--- a/crates/dispatcher-sim/src/world/answers.rs
+++ b/crates/dispatcher-sim/src/world/answers.rs
@@ -5,7 +5,8 @@
 
 use crate::callers::Caller;
 
-use super::{Happening, World, HURRY_MS, MAX_ATTEMPTS, PROBES};
+use super::parts::Happening;
+use super::{World, HURRY_MS, MAX_ATTEMPTS, PROBES};
 
 impl World {
     pub(super) fn new_job(&mut self) {
--- a/crates/dispatcher-sim/src/world/building.rs
+++ b/crates/dispatcher-sim/src/world/building.rs
@@ -2,6 +2,7 @@
 
 use std::collections::HashMap;
 
+use gannetridge_dispatcher_core::configuration::{Configuration, Queue};
 use gannetridge_dispatcher_core::event::TargetEntry;
 use gannetridge_dispatcher_core::message::HostInfo;
 use gannetridge_dispatcher_core::spec::Resources;
@@ -10,7 +11,8 @@
 
 use crate::target::Target;
 
-use super::{queues, Happening, Host, World, EPOCH_MS};
+use super::parts::{Happening, Host};
+use super::{World, EPOCH_MS, MAX_ATTEMPTS};
 
 impl World {
     pub(super) fn hall_of_host(&self, host: usize) -> usize {
@@ -90,7 +92,7 @@
         if self.store_out == 0 {
             let hosts = self.hosts.iter().map(|host| host.info.clone()).collect();
             for event in [
-                Event::ConfigurationRead(queues()),
+                Event::ConfigurationRead(configuration()),
                 Event::TargetsRead(self.list()),
                 Event::HostsRead(hosts),
             ] {
@@ -104,3 +106,20 @@
         listed.map(|target| target.entry.clone()).collect()
     }
 }
+
+/// The configuration of all hosts: one queue.
+pub(super) fn configuration() -> Configuration {
+    Configuration {
+        version: 1,
+        queues: vec![Queue {
+            name: "turns".into(),
+            host: "game.example".into(),
+            prefix: "/turns/".into(),
+            pool: "pool".into(),
+            urgency: 0,
+            max_attempts: MAX_ATTEMPTS,
+            extension: 1.6,
+            slack_ms: 60,
+        }],
+    }
+}
--- a/crates/dispatcher-sim/src/world/faults.rs
+++ b/crates/dispatcher-sim/src/world/faults.rs
@@ -8,7 +8,9 @@
 use crate::faults::Fault;
 use crate::target::Behaviour;
 
-use super::{lift, queues, Happening, World, LAPSE_MS, NEWS_MS};
+use super::building::configuration;
+use super::parts::Happening;
+use super::{lift, World, LAPSE_MS, NEWS_MS};
 
 impl World {
     pub(super) fn fault(&mut self) {
@@ -126,7 +128,7 @@
             self.tell(host, 20, Event::StoreReachable(true));
             let hosts = self.hosts.iter().map(|host| host.info.clone()).collect();
             self.tell(host, 21, Event::HostsRead(hosts));
-            self.tell(host, 21, Event::ConfigurationRead(queues()));
+            self.tell(host, 21, Event::ConfigurationRead(configuration()));
             // Some entries lapsed meanwhile, and are back soon.
             let mut list = self.list();
             list.retain(|_| self.rng.random_bool(0.7));
--- a/crates/dispatcher-sim/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -6,27 +6,25 @@
 mod building;
 mod faults;
 mod network;
+mod parts;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
-use gannetridge_dispatcher_core::configuration::{Configuration, Queue};
 use gannetridge_dispatcher_core::event::TargetChange;
-use gannetridge_dispatcher_core::message::{Envelope, HostInfo, Reply};
 use gannetridge_dispatcher_core::spec::Resources;
-use gannetridge_dispatcher_core::{
-    Action, CallId, Dispatcher, Event, Millis, SendFailure, TargetCall, TargetReply,
-};
+use gannetridge_dispatcher_core::{Action, CallId, Event, Millis};
 use gannetridge_wire::Name;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
 use crate::callers::Caller;
 use crate::checks::Checks;
-use crate::faults::Fault;
 use crate::scenario::{Outcome, Scenario};
 use crate::target::Target;
 
+use parts::{Happening, Host, LongPoll, Pending};
+
 /// Between steps of what runs on targets, in ms.
 const STEP_MS: Millis = 5;
 /// From a change of the list until hosts hear of it, in ms.
@@ -51,88 +49,6 @@
 /// How often a task may fail.
 const MAX_ATTEMPTS: u32 = 2;
 
-struct Host {
-    info: HostInfo,
-    dispatcher: Dispatcher,
-    /// World time at which this life's clock was 0.
-    base: Millis,
-    life: u64,
-    up: bool,
-    frozen: bool,
-    /// When it last began to run again.
-    woke: Millis,
-    tick_at: Millis,
-    queue: Vec<Event>,
-    /// Callers that wait here, by request.
-    callers: HashMap<u64, usize>,
-    /// Peers that wait here, by request.
-    peers: HashMap<u64, Pending>,
-}
-
-#[derive(Clone, Copy)]
-struct Pending {
-    host: usize,
-    life: u64,
-    call: CallId,
-}
-
-struct LongPoll {
-    pending: Pending,
-    target: usize,
-    id: Name,
-    until: Millis,
-}
-
-enum Happening {
-    Step,
-    Tick {
-        host: usize,
-        life: u64,
-    },
-    Event {
-        host: usize,
-        life: u64,
-        event: Box<Event>,
-    },
-    Call {
-        pending: Pending,
-        to: usize,
-        envelope: Box<Envelope>,
-    },
-    Reply {
-        pending: Pending,
-        reply: Box<Reply>,
-    },
-    Missed {
-        pending: Pending,
-        peer: bool,
-        why: SendFailure,
-    },
-    Target {
-        pending: Pending,
-        target: usize,
-        id: Name,
-        token: u64,
-        order: TargetCall,
-        lost: bool,
-    },
-    TargetReply {
-        pending: Pending,
-        reply: TargetReply,
-    },
-    NewJob,
-    Probe(usize),
-    Try(usize),
-    Deadline(usize),
-    Leave(usize),
-    Fault,
-    Over(Fault),
-    Restart(usize),
-    NewTarget(usize),
-    Lapse(Name),
-    ReadAgain(usize),
-}
-
 /// Hosts, targets, callers and the network between them.
 pub struct World {
     scenario: Scenario,
@@ -401,19 +317,3 @@
         }
     }
 }
-
-fn queues() -> Configuration {
-    Configuration {
-        version: 1,
-        queues: vec![Queue {
-            name: "turns".into(),
-            host: "game.example".into(),
-            prefix: "/turns/".into(),
-            pool: "pool".into(),
-            urgency: 0,
-            max_attempts: MAX_ATTEMPTS,
-            extension: 1.6,
-            slack_ms: 60,
-        }],
-    }
-}
--- a/crates/dispatcher-sim/src/world/network.rs
+++ b/crates/dispatcher-sim/src/world/network.rs
@@ -9,7 +9,8 @@
 
 use crate::target::Attempt;
 
-use super::{Happening, LongPoll, Pending, World, HIT, STEP_MS};
+use super::parts::{Happening, LongPoll, Pending};
+use super::{World, HIT, STEP_MS};
 
 impl World {
     pub(super) fn trip(&mut self) -> Millis {
