--- a/crates/dispatcher-sim/src/checks.rs
+++ b/crates/dispatcher-sim/src/checks.rs
@@ -7,13 +7,34 @@
 use gannetridge_dispatcher_core::{Answer, Millis};
 use gannetridge_wire::Name;
 
-/// A promise that was broken.
+/// What must always hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Rule {
+    /// No task runs twice at the same time.
+    NotTwice,
+    /// No target runs more than it has resources for.
+    Capacity,
+    /// A target that has been leaving for long gets no task.
+    Leaving,
+    /// A job is answered as completed only with all its tasks done.
+    CompletedWhole,
+    /// A job is answered as failed only with a task that failed as often as allowed.
+    FailedTruly,
+    /// A caller has its answer in the time that it waits.
+    AnsweredInTime,
+    /// A host serves again when nothing is harmed any more.
+    Recovery,
+    /// Nothing of a job that was refused as not run has started.
+    RefusedTruly,
+}
+
+/// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Violation {
     /// When.
     pub at: Millis,
     /// Which.
-    pub rule: &'static str,
+    pub rule: Rule,
     /// The job, task or target.
     pub what: String,
 }
@@ -43,12 +64,12 @@
 }
 
 impl Checks {
-    fn broken(&mut self, at: Millis, rule: &'static str, what: impl Into<String>) {
+    fn broken(&mut self, at: Millis, rule: Rule, what: impl Into<String>) {
         let what = what.into();
         self.violations.push(Violation { at, rule, what });
     }
 
-    /// A run has begun.
+    /// Records that an attempt has begun.
     pub fn started(&mut self, at: Millis, target: &Name, key: &AttemptId, over_capacity: bool) {
         self.starts += 1;
         let running = self.running.entry(key.task.clone()).or_default();
@@ -56,15 +77,15 @@
         let twice = running.len() > 1;
         let what = format!("{} run {} on {target}: {running:?}", key.task, key.attempt);
         if twice {
-            self.broken(at, "twice", what);
+            self.broken(at, Rule::NotTwice, what);
         }
         if over_capacity {
-            self.broken(at, "room", target.to_string());
+            self.broken(at, Rule::Capacity, target.to_string());
         }
         self.jobs.entry(job_of(&key.task)).or_default().started = true;
     }
 
-    /// A run has ended.
+    /// Records that an attempt has ended.
     pub fn ended(&mut self, target: &Name, key: &AttemptId, outcome: ListedOutcome) {
         if let Some(running) = self.running.get_mut(&key.task) {
             running.remove(&(target.clone(), key.attempt));
@@ -79,12 +100,12 @@
         }
     }
 
-    /// A start came to a target that has long been leaving.
+    /// Records a start on a target that has long been leaving.
     pub fn started_while_leaving(&mut self, at: Millis, target: &Name) {
-        self.broken(at, "drain", target.to_string());
+        self.broken(at, Rule::Leaving, target.to_string());
     }
 
-    /// A caller has its answer, or none.
+    /// Records a caller's answer, or that it has none.
     pub fn answered(
         &mut self,
         at: Millis,
@@ -100,30 +121,30 @@
                 job.not_refused = true;
                 if job.done.len() < tasks {
                     let what = format!("{id}: {} of {tasks} tasks done", job.done.len());
-                    self.broken(at, "completed", what);
+                    self.broken(at, Rule::CompletedWhole, what);
                 }
             }
             Some(Answer::Failed) => {
                 job.not_refused = true;
                 if !job.failures.values().any(|failed| *failed >= attempts) {
-                    self.broken(at, "failed", id.to_string());
+                    self.broken(at, Rule::FailedTruly, id.to_string());
                 }
             }
             _ => job.not_refused = true,
         }
     }
 
-    /// A caller waited for longer than it said.
+    /// Records that a caller waited for longer than it said.
     pub fn unanswered(&mut self, at: Millis, id: &Name) {
-        self.broken(at, "answer", id.to_string());
+        self.broken(at, Rule::AnsweredInTime, id.to_string());
     }
 
-    /// A host doesn't serve though nothing is harmed any more.
+    /// Records that a host doesn't serve though nothing is harmed any more.
     pub fn not_serving(&mut self, at: Millis, host: &Name) {
-        self.broken(at, "recovery", host.to_string());
+        self.broken(at, Rule::Recovery, host.to_string());
     }
 
-    /// Looks at what only the end can show.
+    /// Checks what only the end of a run can show.
     pub fn finish(&mut self, at: Millis) {
         let refused = self.jobs.iter();
         let refused: Vec<String> = refused
@@ -131,7 +152,7 @@
             .map(|(id, _)| id.to_string())
             .collect();
         for id in refused {
-            self.broken(at, "refused", id);
+            self.broken(at, Rule::RefusedTruly, id);
         }
     }
 }
--- a/crates/dispatcher-sim/tests/promises.rs
+++ b/crates/dispatcher-sim/tests/promises.rs
@@ -1,6 +1,7 @@
 //! The short form of the randomised runs.
 
 use gannetridge_dispatcher_core::Safeguards;
+use gannetridge_dispatcher_sim::checks::Rule;
 use gannetridge_dispatcher_sim::{run, Scenario};
 
 /// Seeds that once found a broken promise; the commits tell which.
@@ -75,21 +76,29 @@
 type Remove = fn(&mut Safeguards);
 
 /// Each mechanism, how it is taken out, and the promise that is then broken.
-const MUTANTS: [(&str, Remove, &str); 7] = [
-    ("vouches", |s| s.owner_leases_expire = false, "twice"),
-    ("settling", |s| s.new_holders_settle = false, "room"),
+const MUTANTS: [(&str, Remove, Rule); 7] = [
+    (
+        "owner leases",
+        |s| s.owner_leases_expire = false,
+        Rule::NotTwice,
+    ),
+    ("settling", |s| s.new_holders_settle = false, Rule::Capacity),
     (
         "lost runs",
         |s| s.lost_attempts_are_waited_for = false,
-        "twice",
+        Rule::NotTwice,
+    ),
+    ("doubt", |s| s.starts_are_doubted = false, Rule::NotTwice),
+    ("leaving", |s| s.leaving_is_heeded = false, Rule::Leaving),
+    (
+        "begun",
+        |s| s.begun_is_not_refused = false,
+        Rule::RefusedTruly,
     ),
-    ("doubt", |s| s.starts_are_doubted = false, "twice"),
-    ("leaving", |s| s.leaving_is_heeded = false, "drain"),
-    ("begun", |s| s.begun_is_not_refused = false, "refused"),
     (
         "silence",
         |s| s.silent_attempts_are_waited_for = false,
-        "twice",
+        Rule::NotTwice,
     ),
 ];
 
--- a/crates/entry-sim/src/lib.rs
+++ b/crates/entry-sim/src/lib.rs
@@ -1,8 +1,10 @@
-//! A small seeded driver around the real decision core: several hosts in one
-//! process, with workers reduced to slots, speed and lag, and faults of every
-//! kind that the users name.
+//! A seeded simulator of `gannetridge-entry-core`: several hosts in one process, targets
+//! reduced to slots, speed and lag, callers, operators, and faults of every kind. The
+//! same seed gives the same run.
 //!
-//! The same seed gives the same run. [`chaos`] looks for broken promises.
+//! [`world`] owns everything that moves; [`chaos`] makes the randomised runs, [`checks`]
+//! says what must hold, [`mutants`] takes one mechanism out at a time, [`oracle`] is a
+//! dispatcher with perfect knowledge, to compare with.
 
 mod callers;
 pub mod chaos;
--- a/crates/lab/src/cmd/dispatch.rs
+++ b/crates/lab/src/cmd/dispatch.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::bail;
+use gannetridge_dispatcher_sim::checks::Rule;
 use gannetridge_dispatcher_sim::{run as play, Outcome, Scenario};
 use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
@@ -60,7 +61,7 @@
         })
     });
     let mut sum = Outcome::default();
-    let mut rules: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut rules: BTreeMap<Rule, u64> = BTreeMap::new();
     let mut bad = Vec::new();
     for (seed, outcome) in seeds.iter().zip(&outcomes) {
         sum.events += outcome.events;
