--- a/crates/entry-core/src/host/configure.rs
+++ b/crates/entry-core/src/host/configure.rs
@@ -1,5 +1,7 @@
 //! Follows the configuration, and carries operators' changes to the table.
 
+use std::collections::BTreeMap;
+
 use gannetridge_entry_config::{Document, DocumentKey, Faults};
 use gannetridge_entry_wire::peer::{ConfigDoc, ConfigSnapshot, PeerReply, PeerRequest};
 use gannetridge_entry_wire::platform::{
@@ -78,6 +80,14 @@
     format!("{CONFIG_PREFIX}{key}").into()
 }
 
+/// Operators' changes that are under way.
+#[derive(Debug, Default)]
+pub(super) struct Changes {
+    pub(super) open: BTreeMap<u64, Change>,
+    /// The number of the last one.
+    pub(super) last: u64,
+}
+
 impl Host {
     // ---- following ----
 
@@ -176,7 +186,7 @@
         if let Err(faults) = Document::read(request.key.kind, &file, &request.text) {
             return self.answer_change(token, ChangeAnswer::Faulty(faults));
         }
-        self.last_change += 1;
+        self.changes.last += 1;
         let change = Change {
             token,
             request,
@@ -185,8 +195,8 @@
             give_up: self.now.plus_millis(CHANGE_TIME_MS),
             tries: 0,
         };
-        self.changes.insert(self.last_change, change);
-        self.read_for_change(self.last_change);
+        self.changes.open.insert(self.changes.last, change);
+        self.read_for_change(self.changes.last);
     }
 
     fn answer_change(&mut self, token: Token, answer: ChangeAnswer) {
@@ -195,7 +205,7 @@
 
     /// Reads the rows that a change depends on.
     pub(super) fn read_for_change(&mut self, key: u64) {
-        if self.changes.contains_key(&key) {
+        if self.changes.open.contains_key(&key) {
             let prefix = CONFIG_PREFIX.into();
             self.call_table(Call::ChangeRead(key), TableOp::Scan { prefix });
         }
@@ -210,7 +220,7 @@
             return self.try_change_again(key, ChangeEvent::NotDone);
         };
         self.put_in_force(read.snapshot.clone());
-        let Some(change) = self.changes.get(&key) else {
+        let Some(change) = self.changes.open.get(&key) else {
             return;
         };
         let request = change.request.clone();
@@ -230,10 +240,10 @@
         }
         if let Err(faults) = self.check_references(&request) {
             // The document itself is in order; what it refers to is not there.
-            if self.changes[&key].state == ChangeState::Unclear {
+            if self.changes.open[&key].state == ChangeState::Unclear {
                 return self.try_change_again(key, ChangeEvent::Unclear);
             }
-            let change = self.changes.remove(&key).expect("just seen");
+            let change = self.changes.open.remove(&key).expect("just seen");
             return self.answer_change(change.token, ChangeAnswer::Faulty(faults));
         }
         self.write_change(key, &request, &read, theirs);
@@ -263,7 +273,7 @@
             text: request.text.clone(),
             changes,
         };
-        if let Some(change) = self.changes.get_mut(&key) {
+        if let Some(change) = self.changes.open.get_mut(&key) {
             change.written = read.snapshot.with(doc.clone());
         }
         let doc_row = read.doc_rows.iter().find(|(n, _)| *n == name);
@@ -288,7 +298,7 @@
     pub(super) fn on_change_written(&mut self, key: u64, reply: Result<TableResult, TableFailure>) {
         match reply {
             Ok(TableResult::Committed) => {
-                let Some(change) = self.changes.get_mut(&key) else {
+                let Some(change) = self.changes.open.get_mut(&key) else {
                     return;
                 };
                 // The write was checked against the head that was read, so
@@ -310,7 +320,7 @@
     }
 
     fn change_found(&mut self, key: u64, version: u64) {
-        let state = self.changes[&key].state;
+        let state = self.changes.open[&key].state;
         let event = if state == ChangeState::Unclear {
             ChangeEvent::Found
         } else {
@@ -320,7 +330,7 @@
     }
 
     fn end_change(&mut self, key: u64, event: ChangeEvent, answer: ChangeAnswer) {
-        let Some(mut change) = self.changes.remove(&key) else {
+        let Some(mut change) = self.changes.open.remove(&key) else {
             return;
         };
         CHANGE.advance(&mut change.state, event);
@@ -340,7 +350,7 @@
     }
 
     fn try_change_again(&mut self, key: u64, event: ChangeEvent) {
-        let Some(change) = self.changes.get_mut(&key) else {
+        let Some(change) = self.changes.open.get_mut(&key) else {
             return;
         };
         CHANGE.advance(&mut change.state, event);
--- a/crates/entry-core/src/host/forward.rs
+++ b/crates/entry-core/src/host/forward.rs
@@ -1,5 +1,7 @@
 //! Passes callers' submissions to the holder of their shard.
 
+use std::collections::BTreeMap;
+
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_entry_wire::{Answer, ShardId, Submission};
 use gannetridge_wire::Name;
@@ -11,6 +13,7 @@
 use crate::event::SendFailure;
 use crate::ledger::Waiter;
 use crate::retry::{backoff_ms, spread_ms};
+use crate::seen::SeenRequests;
 
 /// Rounds over all hosts that may know the holder.
 const MOST_ROUNDS: u32 = 4;
@@ -33,9 +36,21 @@
     sent: bool,
 }
 
+/// The submissions that this host passes on, and those that were passed to it.
+#[derive(Debug, Default)]
+pub(super) struct Forwards {
+    pub(super) open: BTreeMap<u64, Forward>,
+    /// The number of the last one.
+    pub(super) last: u64,
+    /// The serial of the last request that passes one on.
+    pub(super) last_serial: u64,
+    /// Requests of other hosts that were seen, by serial.
+    pub(super) seen: SeenRequests,
+}
+
 impl Host {
     pub(super) fn forward(&mut self, waiter: Waiter, submission: Submission) {
-        self.last_forward += 1;
+        self.forwards.last += 1;
         let forward = Forward {
             waiter,
             shard: submission.id.shard(&submission.account),
@@ -44,13 +59,13 @@
             rounds: 0,
             sent: false,
         };
-        self.forwards.insert(self.last_forward, forward);
-        self.forward_next(self.last_forward, None);
+        self.forwards.open.insert(self.forwards.last, forward);
+        self.forward_next(self.forwards.last, None);
     }
 
     /// Sends a submission to the next host that may hold its shard.
     fn forward_next(&mut self, key: u64, hint: Option<Name>) {
-        let Some(forward) = self.forwards.get_mut(&key) else {
+        let Some(forward) = self.forwards.open.get_mut(&key) else {
             return;
         };
         let me = &self.settings.address;
@@ -63,10 +78,10 @@
         forward.tried.push(address.clone());
         let submission = forward.submission.clone();
         let left_ms = submission.deadline().millis_since(self.now);
-        self.last_serial += 1;
+        self.forwards.last_serial += 1;
         let request = PeerRequest::Submit {
             from: self.settings.id.clone(),
-            serial: self.last_serial,
+            serial: self.forwards.last_serial,
             again: forward.sent,
             submission,
         };
@@ -77,20 +92,28 @@
     /// Nobody who was asked holds the shard: waits for it to find an owner, if
     /// there is time and the answer would still be true.
     fn end_round(&mut self, key: u64) {
-        let forward = self.forwards.get_mut(&key).expect("the caller found it");
+        let forward = self
+            .forwards
+            .open
+            .get_mut(&key)
+            .expect("the caller found it");
         forward.rounds += 1;
         forward.tried.clear();
         let rounds = forward.rounds;
         let wait_ms = backoff_ms(&mut self.rng, rounds, FIRST_WAIT_MS, LAST_WAIT_MS);
-        let deadline = self.forwards[&key].submission.deadline();
-        let hall = self.forwards[&key].shard.hall.clone();
+        let deadline = self.forwards.open[&key].submission.deadline();
+        let hall = self.forwards.open[&key].shard.hall.clone();
         let in_time = self.now.plus_millis(wait_ms) < deadline;
         if rounds < MOST_ROUNDS && in_time && self.budget.spend(self.now) {
             self.read_hall(&hall);
             self.after(wait_ms, Timer::Forward(key));
             return;
         }
-        let forward = self.forwards.remove(&key).expect("the caller found it");
+        let forward = self
+            .forwards
+            .open
+            .remove(&key)
+            .expect("the caller found it");
         let answer = if forward.sent {
             let retry_after_ms = spread_ms(&mut self.rng, LAST_WAIT_MS);
             Answer::Pending { retry_after_ms }
@@ -102,13 +125,13 @@
 
     /// Tries again, here if the shard has come to this host meanwhile.
     pub(super) fn forward_again(&mut self, key: u64) {
-        let Some(forward) = self.forwards.get(&key) else {
+        let Some(forward) = self.forwards.open.get(&key) else {
             return;
         };
         let here = forward.shard.hall == self.settings.hall
             && self.ownership.state(forward.shard.index) != ShardState::Absent;
         if here {
-            let forward = self.forwards.remove(&key).expect("just seen");
+            let forward = self.forwards.open.remove(&key).expect("just seen");
             self.route(forward.waiter, forward.submission);
         } else {
             self.forward_next(key, None);
@@ -116,12 +139,12 @@
     }
 
     pub(super) fn on_forwarded(&mut self, key: u64, reply: Result<PeerReply, SendFailure>) {
-        let Some(forward) = self.forwards.get_mut(&key) else {
+        let Some(forward) = self.forwards.open.get_mut(&key) else {
             return;
         };
         match reply {
             Ok(PeerReply::Answer { answer, spare }) => {
-                let forward = self.forwards.remove(&key).expect("just seen");
+                let forward = self.forwards.open.remove(&key).expect("just seen");
                 if let Some(peer) = forward.tried.last().and_then(|a| self.peers.get_mut(a)) {
                     peer.lender.learn(spare);
                 }
--- a/crates/entry-core/src/host/handover.rs
+++ b/crates/entry-core/src/host/handover.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use gannetridge_entry_wire::peer::{Handover, LedgerRecord, PeerReply, PeerRequest};
-use gannetridge_entry_wire::{Answer, FailureCause, Ran, Submission};
+use gannetridge_entry_wire::{Answer, FailureCause, Ran, Submission, Time};
 use gannetridge_wire::Name;
 
 use super::timers::Timer;
@@ -88,14 +88,36 @@
     }
 }
 
+/// How far the host's stop in order has got.
+#[derive(Debug)]
+pub(super) struct Stop {
+    /// Whether it was asked to stop.
+    pub(super) asked: bool,
+    /// When it gives up looking for a host to hand its shards to.
+    pub(super) give_up_at: Time,
+    /// Whether it has stopped.
+    pub(super) done: bool,
+}
+
+impl Stop {
+    /// A host that nobody asked to stop.
+    pub(super) fn not_asked() -> Self {
+        Self {
+            asked: false,
+            give_up_at: Time::MAX,
+            done: false,
+        }
+    }
+}
+
 impl Host {
     pub(super) fn on_stop(&mut self) {
-        if self.stopping {
+        if self.stop.asked {
             return;
         }
-        self.stopping = true;
-        self.stop_by = self.now.plus_millis(NO_HEIR_MS);
-        self.timers.set(self.stop_by, Timer::StopLimit);
+        self.stop.asked = true;
+        self.stop.give_up_at = self.now.plus_millis(NO_HEIR_MS);
+        self.timers.set(self.stop.give_up_at, Timer::StopLimit);
         self.ownership.stop();
         self.dismiss_questions();
         self.read_row();
@@ -115,7 +137,7 @@
         }
         // The row must show the last handover before the next is worth it.
         let version = self.ownership.version();
-        if !self.stopping && self.handovers.balanced_at == version {
+        if !self.stop.asked && self.handovers.balanced_at == version {
             return;
         }
         let surplus = self.ownership.surplus(self.now);
@@ -140,7 +162,7 @@
     /// Finds a host for a stopping host's shards when the row names none that
     /// is alive: it may not have been written for long.
     fn heir_in_outage(&self) -> Option<(u16, gannetridge_entry_wire::HostId, Name)> {
-        if !self.stopping {
+        if !self.stop.asked {
             return None;
         }
         let shard = self.ownership.first_to_give()?;
@@ -382,17 +404,17 @@
 
     /// Ends the host once nothing of it is needed any more.
     pub(super) fn check_stopped(&mut self) {
-        if !self.stopping || self.stopped {
+        if !self.stop.asked || self.stop.done {
             return;
         }
         let busy = !self.jobs.is_empty()
-            || !self.forwards.is_empty()
+            || !self.forwards.open.is_empty()
             || !self.handovers.is_idle()
-            || !self.changes.is_empty()
+            || !self.changes.open.is_empty()
             || self.ledger.has_waiters()
-            || (self.ownership.has_any() && self.now < self.stop_by);
+            || (self.ownership.has_any() && self.now < self.stop.give_up_at);
         if !busy {
-            self.stopped = true;
+            self.stop.done = true;
             self.out.push(Action::Stopped);
         }
     }
--- a/crates/entry-core/src/host/lend.rs
+++ b/crates/entry-core/src/host/lend.rs
@@ -84,7 +84,7 @@
     /// get less, here as at home.
     fn lendable(&self, over_quota: bool) -> u32 {
         let lends = self.settings.tuning.placement == Placement::SharesLending;
-        if !lends || self.stopping || self.queue.entitled() > 0 {
+        if !lends || self.stop.asked || self.queue.entitled() > 0 {
             return 0;
         }
         let keep = if over_quota {
@@ -116,7 +116,7 @@
             });
         }
         let wait_ms = question.wait_ms.min(LONGEST_WAIT_MS);
-        let waits = wait_ms > 0 && !self.stopping && self.questions.len() < MOST_QUESTIONS;
+        let waits = wait_ms > 0 && !self.stop.asked && self.questions.len() < MOST_QUESTIONS;
         let lendable = self.lendable(question.over_quota);
         if lendable > 0 || !waits {
             return self.lend(question.token, question.count.min(lendable));
--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -42,15 +42,15 @@
 use crate::ownership::Ownership;
 use crate::queue::Queue;
 use crate::retry::RetryBudget;
-use crate::seen::SeenRequests;
 use crate::settings::HostSettings;
 use crate::targets::Targets;
 
-use configure::Change;
-use forward::Forward;
+use configure::Changes;
+use forward::Forwards;
 use gossip::Peer;
-use handover::Handovers;
+use handover::{Handovers, Stop};
 use lend::{Question, Questions};
+use owner::HallReads;
 use quotas::FarUsage;
 use run::RunningTask;
 use timers::Timers;
@@ -74,6 +74,14 @@
     ChangeWrite(u64),
 }
 
+/// The calls that have no reply yet.
+#[derive(Debug, Default)]
+struct Calls {
+    open: HashMap<CallId, Call>,
+    /// The number of the last one.
+    last: u64,
+}
+
 /// One entry host.
 pub struct Host {
     settings: HostSettings,
@@ -81,8 +89,7 @@
     rng: Pcg32,
     out: Vec<Action>,
     timers: Timers,
-    last_call: u64,
-    calls: HashMap<CallId, Call>,
+    calls: Calls,
     ownership: Ownership,
     directory: Directory,
     config: ConfigStore,
@@ -103,22 +110,13 @@
     peers: BTreeMap<Name, Peer>,
     /// The slots that accounts use in other halls, as last heard.
     far_usage: FarUsage,
-    forwards: BTreeMap<u64, Forward>,
-    last_forward: u64,
-    last_serial: u64,
-    forwarded: SeenRequests,
+    forwards: Forwards,
     handovers: Handovers,
-    changes: BTreeMap<u64, Change>,
-    last_change: u64,
-    /// When other halls' rows were last read.
-    halls_read: BTreeMap<Name, Time>,
-    hall_polls: usize,
+    changes: Changes,
+    hall_reads: HallReads,
     row_busy: bool,
     heartbeats: u64,
-    stopping: bool,
-    /// When a stopping host gives up looking for an heir.
-    stop_by: Time,
-    stopped: bool,
+    stop: Stop,
 }
 
 impl Host {
@@ -136,8 +134,7 @@
             rng: Pcg32::seed_from_u64(settings.seed),
             out: Vec::new(),
             timers: Timers::default(),
-            last_call: 0,
-            calls: HashMap::new(),
+            calls: Calls::default(),
             ownership: Ownership::new(&settings, now),
             directory: Directory::default(),
             config: ConfigStore::default(),
@@ -155,20 +152,13 @@
             budget: RetryBudget::new(now),
             peers: BTreeMap::new(),
             far_usage: FarUsage::default(),
-            forwards: BTreeMap::new(),
-            last_forward: 0,
-            last_serial: 0,
-            forwarded: SeenRequests::default(),
+            forwards: Forwards::default(),
             handovers: Handovers::default(),
-            changes: BTreeMap::new(),
-            last_change: 0,
-            halls_read: BTreeMap::new(),
-            hall_polls: 0,
+            changes: Changes::default(),
+            hall_reads: HallReads::default(),
             row_busy: false,
             heartbeats: 0,
-            stopping: false,
-            stop_by: Time::MAX,
-            stopped: false,
+            stop: Stop::not_asked(),
             settings,
         };
         host.add_seed_peers();
@@ -222,7 +212,7 @@
     /// targets.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        !self.stopping && self.config.version() > 0 && !self.targets.is_empty()
+        !self.stop.asked && self.config.version() > 0 && !self.targets.is_empty()
     }
 
     /// Takes one event at the time `now` and returns what is to be done.
@@ -256,7 +246,7 @@
     }
 
     fn on_peer_reply(&mut self, call: CallId, reply: Result<PeerReply, SendFailure>) {
-        let Some(purpose) = self.calls.remove(&call) else {
+        let Some(purpose) = self.calls.open.remove(&call) else {
             return;
         };
         match purpose {
@@ -286,7 +276,7 @@
                 again,
                 submission,
             } => {
-                if self.forwarded.is_new((from, serial), self.now) {
+                if self.forwards.seen.is_new((from, serial), self.now) {
                     let waiter = if again {
                         Waiter::PeerAgain(token)
                     } else {
@@ -334,13 +324,13 @@
     // ---- actions ----
 
     fn new_call(&mut self) -> CallId {
-        self.last_call += 1;
-        CallId(self.last_call)
+        self.calls.last += 1;
+        CallId(self.calls.last)
     }
 
     fn call_peer(&mut self, purpose: Call, address: Name, request: PeerRequest, wait_ms: u64) {
         let call = self.new_call();
-        self.calls.insert(call, purpose);
+        self.calls.open.insert(call, purpose);
         self.out.push(Action::Call {
             call,
             address,
@@ -351,7 +341,7 @@
 
     fn call_table(&mut self, purpose: Call, op: TableOp) {
         let call = self.new_call();
-        self.calls.insert(call, purpose);
+        self.calls.open.insert(call, purpose);
         self.out.push(Action::Table { call, op });
     }
 
--- a/crates/entry-core/src/host/owner.rs
+++ b/crates/entry-core/src/host/owner.rs
@@ -1,8 +1,11 @@
 //! Keeps this host's lease on its hall's shards, and takes over from hosts
 //! that are gone.
 
+use std::collections::BTreeMap;
+
 use gannetridge_entry_wire::hall::{hall_key, HallRow, HALL_PREFIX};
 use gannetridge_entry_wire::platform::{Check, Row, TableFailure, TableOp, TableResult, Write};
+use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 
 use super::{Call, Host};
@@ -13,13 +16,22 @@
 /// Shortest time between reads of another hall's row, in ms.
 const HALLS_READ_GAP_MS: u64 = 200;
 
+/// Reads of other halls' rows.
+#[derive(Debug, Default)]
+pub(super) struct HallReads {
+    /// When each was last read.
+    pub(super) last_read: BTreeMap<Name, Time>,
+    /// How often one was read in turn.
+    pub(super) polls: usize,
+}
+
 impl Host {
     pub(super) fn on_table_reply(
         &mut self,
         call: CallId,
         reply: Result<TableResult, TableFailure>,
     ) {
-        let Some(purpose) = self.calls.remove(&call) else {
+        let Some(purpose) = self.calls.open.remove(&call) else {
             return;
         };
         match purpose {
@@ -36,7 +48,7 @@
 
     /// Begins a renewal: reads the hall's row, then writes it.
     pub(super) fn read_row(&mut self) {
-        if self.row_busy || self.stopped {
+        if self.row_busy || self.stop.done {
             return;
         }
         self.row_busy = true;
@@ -141,18 +153,18 @@
             let prefix = HALL_PREFIX.into();
             return self.call_table(Call::ReadHalls, TableOp::Scan { prefix });
         }
-        self.hall_polls += 1;
-        let hall = others[self.hall_polls % others.len()].clone();
+        self.hall_reads.polls += 1;
+        let hall = others[self.hall_reads.polls % others.len()].clone();
         self.read_hall(&hall);
     }
 
     /// Reads one hall's row, but not more often than useful.
     pub(super) fn read_hall(&mut self, hall: &Name) {
-        let read = self.halls_read.get(hall);
+        let read = self.hall_reads.last_read.get(hall);
         if read.is_some_and(|at| self.now < at.plus_millis(HALLS_READ_GAP_MS)) {
             return;
         }
-        self.halls_read.insert(hall.clone(), self.now);
+        self.hall_reads.last_read.insert(hall.clone(), self.now);
         let key = hall_key(hall);
         self.call_table(Call::ReadHalls, TableOp::Get { key });
     }
--- a/crates/entry-core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -337,7 +337,7 @@
             return refused(Refusal::TooLate, 0);
         }
         let retry_after_ms = spread_ms(&mut self.rng, ASK_AGAIN_MS);
-        if self.stopping && !self.can_hand_over() {
+        if self.stop.asked && !self.can_hand_over() {
             return refused(Refusal::Stopping, retry_after_ms);
         }
         if self.queue.tasks() + job.tasks.len() > self.settings.tuning.queue_limit {
