--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -50,7 +50,7 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        // A lease that was acquired anew since takes no word of an earlier call.
+        // A call from before the lease was acquired anew tells nothing of it.
         if target.lease.renewal != Some(call) {
             return;
         }
--- a/crates/dispatcher/src/mailbox.rs
+++ b/crates/dispatcher/src/mailbox.rs
@@ -9,7 +9,7 @@
 
 use crate::metrics::Metrics;
 
-/// Looks at the dispatcher and its metrics.
+/// Inspects the dispatcher and its metrics.
 pub type Inspection = Box<dyn FnOnce(&Dispatcher, &Metrics)>;
 
 /// What other tasks send to the task that owns the dispatcher.
@@ -34,7 +34,7 @@
     },
     /// Something else that happened.
     Event(Event),
-    /// Someone looks at the dispatcher.
+    /// Asks to inspect the dispatcher.
     Inspect(Inspection),
 }
 
