--- a/crates/entry-core/src/host/handover.rs
+++ b/crates/entry-core/src/host/handover.rs
@@ -1,38 +1,30 @@
 //! Gives shards to other hosts, with all that is remembered of them.
 
 use std::collections::BTreeMap;
-use std::sync::Arc;
 
 use gannetridge_entry_wire::peer::{Handover, LedgerRecord, PeerReply, PeerRequest};
-use gannetridge_entry_wire::{Answer, FailureCause, Ran, Submission, Time};
+use gannetridge_entry_wire::{HostId, Submission, Time};
 use gannetridge_wire::Name;
 
 use super::timers::Timer;
+use super::updates::PendingUpdate;
 use super::{Call, Host};
-use crate::action::{Action, Note};
+use crate::action::Note;
 use crate::event::{SendFailure, Token};
-use crate::job::Job;
-use crate::ledger::{EntryState, Waiter};
+use crate::ledger::Waiter;
 use crate::ownership::Acceptance;
 
-/// How long the reply to a handover is awaited, in ms.
+/// How long the reply to a handover is awaited, in ms; chosen, not
+/// measured.
 const HANDOVER_WAIT_MS: u64 = 1_000;
-/// Pause before a handover whose fate is unknown is sent again, in ms.
-const HANDOVER_RETRY_MS: u64 = 100;
+/// Pause before a handover whose fate is unknown is sent again, in ms; chosen, not
+/// measured.
+pub(super) const HANDOVER_RETRY_MS: u64 = 100;
 /// Time that the new holder usually needs to write the table, in ms.
 const SETTLE_MS: u64 = 50;
-/// Pause after a handover was declined, in ms.
+/// Pause after a handover was declined, in ms; chosen, not
+/// measured.
 const DECLINED_PAUSE_MS: u64 = 500;
-/// How long the reply to an update is awaited, in ms.
-const UPDATE_WAIT_MS: u64 = 500;
-/// Pause before an update is sent again, in ms.
-const UPDATE_RETRY_MS: u64 = 200;
-/// Most times that an update is sent.
-const MOST_UPDATES: u32 = 10;
-/// How long a stopping host looks for one to take its shards, in ms.
-const NO_HEIR_MS: u64 = 5_000;
-/// How long after its deadline a job that ran elsewhere is given up, in ms.
-const ELSEWHERE_GRACE_MS: u64 = 3_000;
 
 /// A submission that waits for its shard's handover to end.
 #[derive(Debug)]
@@ -50,19 +42,11 @@
     /// Where shards went whose jobs may still end here.
     pub(super) heirs: BTreeMap<u16, Name>,
     /// Records that an heir hasn't confirmed yet.
-    updates: BTreeMap<u16, PendingUpdate>,
+    pub(super) updates: BTreeMap<u16, PendingUpdate>,
     /// The row's version at the last handover that wasn't for a stop.
     balanced_at: u64,
 }
 
-/// Records for one heir.
-#[derive(Debug, Default)]
-struct PendingUpdate {
-    records: Vec<LedgerRecord>,
-    /// How many of them are on their way.
-    sending: usize,
-}
-
 #[derive(Debug)]
 struct Current {
     address: Name,
@@ -83,53 +67,24 @@
         });
     }
 
-    fn is_idle(&self) -> bool {
+    /// Tells whether nothing is on its way or waits.
+    pub(super) fn is_idle(&self) -> bool {
         self.current.is_none() && self.parked.is_empty() && self.updates.is_empty()
     }
 }
 
-/// How far the host's stop in order has got.
-#[derive(Debug)]
-pub(super) struct Stop {
-    /// Whether it was asked to stop.
-    pub(super) asked: bool,
-    /// When it gives up looking for a host to hand its shards to.
-    pub(super) give_up_at: Time,
-    /// Whether it has stopped.
-    pub(super) done: bool,
-}
-
-impl Stop {
-    /// A host that nobody asked to stop.
-    pub(super) fn not_asked() -> Self {
-        Self {
-            asked: false,
-            give_up_at: Time::MAX,
-            done: false,
-        }
-    }
-}
-
 impl Host {
-    pub(super) fn on_stop(&mut self) {
-        if self.stop.asked {
-            return;
-        }
-        self.stop.asked = true;
-        self.stop.give_up_at = self.now.plus_millis(NO_HEIR_MS);
-        self.timers.set(self.stop.give_up_at, Timer::StopLimit);
-        self.ownership.stop();
-        self.dismiss_questions();
-        self.read_row();
-        self.announce();
-        self.offer_next();
-    }
-
     /// Tells whether some peer could take this host's shards.
     pub(super) fn can_hand_over(&self) -> bool {
         self.handovers.current.is_some() || self.ownership.surplus(self.now).is_some()
     }
 
+    /// Tells whether this shard is on its way to another host.
+    pub(super) fn is_handing_over(&self, shard: u16) -> bool {
+        let current = self.handovers.current.as_ref();
+        current.is_some_and(|c| c.handover.shard == shard)
+    }
+
     /// Offers the next shard that should go elsewhere.
     pub(super) fn offer_next(&mut self) {
         if self.handovers.current.is_some() {
@@ -161,7 +116,7 @@
 
     /// Finds a host for a stopping host's shards when the row names none that
     /// is alive: it may not have been written for long.
-    fn heir_in_outage(&self) -> Option<(u16, gannetridge_entry_wire::HostId, Name)> {
+    fn heir_in_outage(&self) -> Option<(u16, HostId, Name)> {
         if !self.stop.asked {
             return None;
         }
@@ -250,7 +205,7 @@
             self.ownership.declined(shard);
             if let Some(peer) = self.peers.get_mut(&current.address) {
                 // Not heard, so that the next offer looks elsewhere.
-                peer.heard = gannetridge_entry_wire::Time::ZERO;
+                peer.heard = Time::ZERO;
             }
             self.after(DECLINED_PAUSE_MS, Timer::Handover);
         }
@@ -309,113 +264,4 @@
             }
         }
     }
-
-    // ---- jobs that end after their shard has gone ----
-
-    fn is_handing_over(&self, shard: u16) -> bool {
-        let current = self.handovers.current.as_ref();
-        current.is_some_and(|c| c.handover.shard == shard)
-    }
-
-    /// Tells the new holder of a job's shard how the job ended.
-    pub(super) fn tell_heir(&mut self, job: &Job, answer: &Answer) {
-        let record = LedgerRecord {
-            account: job.entry.account.clone(),
-            submission: job.entry.submission.clone(),
-            digest: job.submission.digest(),
-            answer: Some(answer.clone()),
-            attempt: self.ledger.get(&job.entry).map_or(0, |e| e.attempt),
-            deadline: job.deadline,
-        };
-        self.queue_update(job.authority.shard, record);
-    }
-
-    /// Plans to tell a shard's heir, if there is one, what became of a job.
-    fn queue_update(&mut self, shard: u16, record: LedgerRecord) {
-        if !self.is_handing_over(shard) && !self.handovers.heirs.contains_key(&shard) {
-            return;
-        }
-        let update = self.handovers.updates.entry(shard).or_default();
-        update.records.push(record);
-        if update.sending == 0 {
-            self.after(0, Timer::Update(shard, 0));
-        }
-    }
-
-    pub(super) fn send_update(&mut self, shard: u16, tries: u32) {
-        if self.is_handing_over(shard) {
-            return self.after(HANDOVER_RETRY_MS, Timer::Update(shard, tries));
-        }
-        let heir = self.handovers.heirs.get(&shard).cloned();
-        let (Some(address), true) = (heir, tries < MOST_UPDATES) else {
-            self.handovers.updates.remove(&shard);
-            return;
-        };
-        let Some(update) = self.handovers.updates.get_mut(&shard) else {
-            return;
-        };
-        if update.sending > 0 || update.records.is_empty() {
-            return;
-        }
-        update.sending = update.records.len();
-        let records = update.records.clone();
-        let purpose = Call::Update { shard, tries };
-        let request = PeerRequest::Update { records };
-        self.call_peer(purpose, address, request, UPDATE_WAIT_MS);
-    }
-
-    pub(super) fn on_update_reply(
-        &mut self,
-        shard: u16,
-        tries: u32,
-        reply: Result<PeerReply, SendFailure>,
-    ) {
-        let Some(update) = self.handovers.updates.get_mut(&shard) else {
-            return;
-        };
-        let sent = std::mem::take(&mut update.sending);
-        if reply != Ok(PeerReply::Done) {
-            return self.after(UPDATE_RETRY_MS, Timer::Update(shard, tries + 1));
-        }
-        update.records.drain(..sent);
-        if update.records.is_empty() {
-            self.handovers.updates.remove(&shard);
-        } else {
-            self.after(0, Timer::Update(shard, 0));
-        }
-    }
-
-    /// Gives up jobs that ran at a host that is gone.
-    pub(super) fn end_overdue_elsewhere(&mut self) {
-        let before = self.now.minus_millis(ELSEWHERE_GRACE_MS);
-        for key in self.ledger.overdue_elsewhere(before) {
-            let answer = Answer::Failed {
-                cause: FailureCause::OwnerLost,
-                ran: Ran::Unknown,
-            };
-            let entry = self.ledger.get_mut(&key).expect("just listed");
-            entry.state = EntryState::Ended(Arc::new(answer.clone()));
-            let waiters = std::mem::take(&mut entry.waiters);
-            for waiter in waiters {
-                self.answer(waiter, answer.clone());
-            }
-        }
-    }
-
-    /// Ends the host once nothing of it is needed any more.
-    pub(super) fn check_stopped(&mut self) {
-        if !self.stop.asked || self.stop.done {
-            return;
-        }
-        let busy = !self.jobs.is_empty()
-            || !self.forwards.open.is_empty()
-            || !self.handovers.is_idle()
-            || !self.changes.open.is_empty()
-            || self.ledger.has_waiters()
-            || (self.ownership.has_any() && self.now < self.stop.give_up_at);
-        if !busy {
-            self.stop.done = true;
-            self.out.push(Action::Stopped);
-        }
-    }
 }
--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -18,8 +18,10 @@
 mod owner;
 mod quotas;
 mod run;
+mod stopping;
 mod submit;
 mod timers;
+mod updates;
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -48,11 +50,12 @@
 use configure::Changes;
 use forward::Forwards;
 use gossip::Peer;
-use handover::{Handovers, Stop};
+use handover::Handovers;
 use lend::{Question, Questions};
 use owner::HallReads;
 use quotas::FarUsage;
 use run::RunningTask;
+use stopping::Stop;
 use timers::Timers;
 
 /// What a call to a peer or the table was for.
--- /dev/null
+++ b/crates/entry-core/src/host/updates.rs
@@ -0,0 +1,124 @@
+//! Tells the hosts that got shards how the jobs ended that began here, and gives up
+//! those that ran at a host that is gone.
+//!
+//! Relies on `handover`, which knows where each shard went.
+
+use std::sync::Arc;
+
+use gannetridge_entry_wire::peer::{LedgerRecord, PeerReply, PeerRequest};
+use gannetridge_entry_wire::{Answer, FailureCause, Ran};
+
+use super::handover::HANDOVER_RETRY_MS;
+use super::timers::Timer;
+use super::{Call, Host};
+use crate::event::SendFailure;
+use crate::job::Job;
+use crate::ledger::EntryState;
+
+/// How long the reply to an update is awaited, in ms; chosen, not
+/// measured.
+const UPDATE_WAIT_MS: u64 = 500;
+/// Pause before an update is sent again, in ms; chosen, not
+/// measured.
+const UPDATE_RETRY_MS: u64 = 200;
+/// Most times that an update is sent; chosen, not
+/// measured.
+const MOST_UPDATES: u32 = 10;
+/// How long after its deadline a job that ran elsewhere is given up, in ms; chosen, not
+/// measured.
+const ELSEWHERE_GRACE_MS: u64 = 3_000;
+
+/// Records for one heir.
+#[derive(Debug, Default)]
+pub(super) struct PendingUpdate {
+    records: Vec<LedgerRecord>,
+    /// How many of them are on their way.
+    sending: usize,
+}
+
+impl Host {
+    /// Tells the new holder of a job's shard how the job ended.
+    pub(super) fn tell_heir(&mut self, job: &Job, answer: &Answer) {
+        let record = LedgerRecord {
+            account: job.entry.account.clone(),
+            submission: job.entry.submission.clone(),
+            digest: job.submission.digest(),
+            answer: Some(answer.clone()),
+            attempt: self.ledger.get(&job.entry).map_or(0, |e| e.attempt),
+            deadline: job.deadline,
+        };
+        self.queue_update(job.authority.shard, record);
+    }
+
+    /// Plans to tell a shard's heir, if there is one, what became of a job.
+    pub(super) fn queue_update(&mut self, shard: u16, record: LedgerRecord) {
+        if !self.is_handing_over(shard) && !self.handovers.heirs.contains_key(&shard) {
+            return;
+        }
+        let update = self.handovers.updates.entry(shard).or_default();
+        update.records.push(record);
+        if update.sending == 0 {
+            self.after(0, Timer::Update(shard, 0));
+        }
+    }
+
+    pub(super) fn send_update(&mut self, shard: u16, tries: u32) {
+        if self.is_handing_over(shard) {
+            return self.after(HANDOVER_RETRY_MS, Timer::Update(shard, tries));
+        }
+        let heir = self.handovers.heirs.get(&shard).cloned();
+        let (Some(address), true) = (heir, tries < MOST_UPDATES) else {
+            self.handovers.updates.remove(&shard);
+            return;
+        };
+        let Some(update) = self.handovers.updates.get_mut(&shard) else {
+            return;
+        };
+        if update.sending > 0 || update.records.is_empty() {
+            return;
+        }
+        update.sending = update.records.len();
+        let records = update.records.clone();
+        let purpose = Call::Update { shard, tries };
+        let request = PeerRequest::Update { records };
+        self.call_peer(purpose, address, request, UPDATE_WAIT_MS);
+    }
+
+    pub(super) fn on_update_reply(
+        &mut self,
+        shard: u16,
+        tries: u32,
+        reply: Result<PeerReply, SendFailure>,
+    ) {
+        let Some(update) = self.handovers.updates.get_mut(&shard) else {
+            return;
+        };
+        let sent = std::mem::take(&mut update.sending);
+        if reply != Ok(PeerReply::Done) {
+            return self.after(UPDATE_RETRY_MS, Timer::Update(shard, tries + 1));
+        }
+        update.records.drain(..sent);
+        if update.records.is_empty() {
+            self.handovers.updates.remove(&shard);
+        } else {
+            self.after(0, Timer::Update(shard, 0));
+        }
+    }
+
+    /// Gives up jobs that ran at a host that is gone.
+    pub(super) fn end_overdue_elsewhere(&mut self) {
+        let before = self.now.minus_millis(ELSEWHERE_GRACE_MS);
+        for key in self.ledger.overdue_elsewhere(before) {
+            let answer = Answer::Failed {
+                cause: FailureCause::OwnerLost,
+                ran: Ran::Unknown,
+            };
+            let entry = self.ledger.get_mut(&key).expect("just listed");
+            entry.state = EntryState::Ended(Arc::new(answer.clone()));
+            let waiters = std::mem::take(&mut entry.waiters);
+            for waiter in waiters {
+                self.answer(waiter, answer.clone());
+            }
+        }
+    }
+}
