--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -7,6 +7,7 @@
 //! hosts, `quotas` counts accounts' slots, `gossip` exchanges heartbeats, `owner` keeps the lease, `handover`
 //! gives shards away, `configure` follows and changes the configuration.
 
+mod accept;
 mod ask;
 mod borrow;
 mod configure;
@@ -17,7 +18,9 @@
 mod lend;
 mod owner;
 mod quotas;
+mod retries;
 mod run;
+mod run_ends;
 mod stopping;
 mod submit;
 mod timers;
--- a/crates/entry-core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -1,31 +1,24 @@
-//! Starts tasks on targets and takes their results.
+//! Starts tasks on targets, on slots of this hall's own or borrowed ones.
 
-use gannetridge_entry_wire::target::{StartRefusal, StartTask, TaskReport};
-use gannetridge_entry_wire::{FailureCause, TaskId, Time};
+use gannetridge_entry_wire::target::StartTask;
+use gannetridge_entry_wire::{FailureCause, ShardId, TaskId, Time};
 use gannetridge_wire::Name;
 
 use super::timers::Timer;
 use super::Host;
-use crate::action::{Action, Waste};
+use crate::action::Action;
 use crate::charts::TaskEvent;
-use crate::event::{CallId, SendFailure};
 use crate::keys::{AccountIndex, JobKey};
 use crate::loans::LoanKey;
 use crate::queue::FreeSlots;
 use crate::targets::TargetIndex;
 
-/// Shortest lease of a task, in ms.
+/// Shortest lease of a task, in ms; chosen, not measured.
 const LEAST_LEASE_MS: u64 = 1_000;
-/// How long the reply to a question is awaited, in ms.
+/// How long the reply to a question is awaited, in ms; chosen, not measured.
 pub(super) const ASK_WAIT_MS: u64 = 500;
-/// Longest wait before a target is asked again, in ms.
+/// Longest wait before a target is asked again, in ms; chosen, not measured.
 pub(super) const LAST_ASK_MS: u64 = 500;
-/// Most times that one task is sent again.
-const MOST_RETRIES: u32 = 8;
-/// Wait before a task goes again when the retry budget is used up, in ms.
-const OUT_OF_BUDGET_MS: u64 = 200;
-/// How long a slot is left alone after its target was full, in ms.
-const FULL_PAUSE_MS: u64 = 50;
 /// A repeatable task is a straggler after this many times its expected time.
 const STRAGGLER_FACTOR: u64 = 4;
 
@@ -203,7 +196,7 @@
         let lease_ms = (expected_ms * tuning.lease_factor).clamp(LEAST_LEASE_MS, longest_ms);
         StartTask {
             task: job.task_id(index),
-            shard: gannetridge_entry_wire::ShardId {
+            shard: ShardId {
                 hall: self.settings.hall.clone(),
                 index: job.authority.shard,
             },
@@ -216,198 +209,4 @@
             input: job.submission.tasks[index as usize].input.clone(),
         }
     }
-
-    // ---- replies ----
-
-    pub(super) fn on_task_reply(&mut self, call: CallId, reply: Result<TaskReport, SendFailure>) {
-        let Some(task) = self.running.get(&call).cloned() else {
-            return;
-        };
-        match reply {
-            Ok(TaskReport::Done { output, ran_ms }) => {
-                self.end_run(call, &task);
-                self.learn(&task, ran_ms);
-                self.on_done(&task, output, ran_ms);
-            }
-            Ok(TaskReport::Failed { ran_ms }) => {
-                self.end_run(call, &task);
-                self.on_failed(&task, ran_ms);
-            }
-            Ok(TaskReport::Over) => {
-                self.end_run(call, &task);
-                self.on_over(&task);
-            }
-            Ok(TaskReport::Refused { reason }) => {
-                self.waste(Waste::Bounced);
-                self.note_refusal(&task, reason);
-                self.end_run(call, &task);
-                self.on_never_begun(&task, reason == StartRefusal::StaleEpoch);
-            }
-            Ok(TaskReport::NeverBegun) => {
-                self.end_run(call, &task);
-                self.on_never_begun(&task, false);
-            }
-            Ok(TaskReport::Running) => self.ask_later(call, &task),
-            Err(failure) => self.on_no_reply(call, &task, failure),
-        }
-    }
-
-    /// Frees the slot of a run that is over or never began.
-    pub(super) fn end_run(&mut self, call: CallId, task: &RunningTask) {
-        self.running.remove(&call);
-        self.queue.slot_freed(task.account);
-        match &task.source {
-            SlotSource::Own => {
-                self.targets.update(task.target, |t| t.in_use -= 1);
-            }
-            SlotSource::Loan(key) => {
-                let keep = self.queue.tasks() > 0;
-                self.borrowed
-                    .release(key.clone(), task.target, keep, self.now);
-            }
-        }
-    }
-
-    fn learn(&mut self, task: &RunningTask, ran_ms: u64) {
-        let ratio = ran_ms as f32 / task.expected_ms as f32;
-        let relative = ratio / self.pace.ratio();
-        self.pace.learn(ratio);
-        self.targets
-            .update(task.target, |t| t.health.succeeded(relative));
-    }
-
-    fn on_done(&mut self, task: &RunningTask, output: String, ran_ms: u64) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.waste(Waste::Late);
-        };
-        assert_eq!(
-            job.task_id(task.index),
-            task.id,
-            "a result belongs to its own run"
-        );
-        job.finish_task(task.index, output, ran_ms);
-        if job.open == 0 || !self.settings.safeguards.whole_answers {
-            self.complete_job(task.job);
-        }
-    }
-
-    /// The target reported that a run ended without an output.
-    fn on_failed(&mut self, task: &RunningTask, ran_ms: u64) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.waste(Waste::Late);
-        };
-        job.ran = true;
-        job.slowest_ms = job.slowest_ms.max(ran_ms);
-        self.end_without_output(task, FailureCause::TaskFailed);
-    }
-
-    /// The target reported that a run is over, whether or not it ever began.
-    fn on_over(&mut self, task: &RunningTask) {
-        if !self.jobs.contains_key(&task.job) {
-            return self.waste(Waste::Late);
-        }
-        self.end_without_output(task, FailureCause::TargetLost);
-    }
-
-    /// Repeats a run that is proved over, if the account allows it.
-    fn end_without_output(&mut self, task: &RunningTask, cause: FailureCause) {
-        let job = self.jobs.get_mut(&task.job).expect("the caller found it");
-        job.advance(task.index, TaskEvent::Failed);
-        let repeatable = job.account.repeatable;
-        let retries = job.tasks[task.index as usize].retries;
-        if repeatable && retries < MOST_RETRIES && self.budget.spend(self.now) {
-            let job = self.jobs.get_mut(&task.job).expect("just seen");
-            job.ran = true;
-            job.tasks[task.index as usize].retries += 1;
-            job.advance(task.index, TaskEvent::Repeated);
-            self.requeue(task.job, task.index);
-        } else {
-            self.fail_job(task.job, cause);
-        }
-    }
-
-    /// Takes note that some source says a target is leaving.
-    pub(super) fn target_leaves(&mut self, target: TargetIndex) {
-        let now = self.now;
-        if self.settings.safeguards.heed_leaving {
-            self.targets.update(target, |t| t.health.leaves(now));
-        }
-    }
-
-    fn note_refusal(&mut self, task: &RunningTask, reason: StartRefusal) {
-        match reason {
-            StartRefusal::Full => {
-                self.targets.update(task.target, |t| t.blocked += 1);
-                self.after(FULL_PAUSE_MS, Timer::Unblock(task.target));
-            }
-            StartRefusal::Leaving => self.target_leaves(task.target),
-            StartRefusal::StaleEpoch | StartRefusal::TooLate => {}
-        }
-    }
-
-    /// The target proved that the run never began and never will.
-    fn on_never_begun(&mut self, task: &RunningTask, stale: bool) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
-        job.advance(task.index, TaskEvent::Refused);
-        if stale {
-            return self.fail_job(task.job, FailureCause::OwnerLost);
-        }
-        // A full target is no fault: its task waits for as long as its job.
-        self.pay_and_requeue(task.job, task.index);
-    }
-
-    fn on_no_reply(&mut self, call: CallId, task: &RunningTask, failure: SendFailure) {
-        self.waste(Waste::Lost);
-        let now = self.now;
-        self.targets.update(task.target, |t| t.health.failed(now));
-        let lost = failure == SendFailure::Unknown && self.settings.safeguards.ask_when_lost;
-        if task.asking {
-            return self.ask_later(call, task);
-        }
-        if lost {
-            if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.advance(task.index, TaskEvent::Lost);
-                self.ask_later(call, task);
-            } else {
-                self.end_run(call, task);
-            }
-            return;
-        }
-        self.end_run(call, task);
-        if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.advance(task.index, TaskEvent::NotSent);
-            self.send_again(task.job, task.index);
-        }
-    }
-
-    /// Sends a task again that is proved not to run, within the budget.
-    pub(super) fn send_again(&mut self, key: JobKey, index: u32) {
-        let retries = self.jobs[&key].tasks[index as usize].retries;
-        if retries >= MOST_RETRIES {
-            return self.fail_job(key, FailureCause::TargetLost);
-        }
-        self.jobs.get_mut(&key).expect("just seen").tasks[index as usize].retries += 1;
-        self.pay_and_requeue(key, index);
-    }
-
-    fn pay_and_requeue(&mut self, key: JobKey, index: u32) {
-        if self.budget.spend(self.now) {
-            self.requeue(key, index);
-        } else {
-            self.after(OUT_OF_BUDGET_MS, Timer::Requeue(key, index));
-        }
-    }
-
-    /// Puts a task back among those that wait.
-    pub(super) fn requeue(&mut self, key: JobKey, index: u32) {
-        let Some(job) = self.jobs.get_mut(&key) else {
-            return;
-        };
-        job.requeue(index);
-        let expected_ms = job.tasks[index as usize].expected_ms;
-        self.queue.task_waits(job.queue, expected_ms);
-        self.queue.add_job(job.queue, job.due, key);
-    }
 }
--- a/crates/entry-core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -1,39 +1,24 @@
 //! Takes submissions: as the holder of their shard, or to pass them on.
+//!
+//! A submission that the ledger knows gets the answer kept there; whether a new one
+//! becomes a job is decided in `accept`.
 
-use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use gannetridge_entry_config::Account;
 use gannetridge_entry_wire::answer::Refusal;
 use gannetridge_entry_wire::peer::PeerReply;
-use gannetridge_entry_wire::submission::ParameterValue;
-use gannetridge_entry_wire::{Answer, FailureCause, Ran, Rejection, Submission, Time};
+use gannetridge_entry_wire::{Answer, FailureCause, Ran, Rejection, Submission};
 
-use super::timers::Timer;
 use super::Host;
 use crate::action::{Note, Waste};
-use crate::admission::{judge, Load, Need, Verdict};
 use crate::charts::ShardState;
-use crate::job::{Job, JobAuthority, JobPlan};
-use crate::keys::{EntryKey, JobKey};
+use crate::keys::EntryKey;
 use crate::ledger::{Entry, EntryState, Waiter};
 use crate::ownership::Right;
 use crate::retry::spread_ms;
 
-/// When a caller may ask again for what isn't known yet, in ms.
-const ASK_AGAIN_MS: u64 = 500;
-/// Part of the slots that a job of an account over its quota is judged by.
-const OVER_QUOTA_PART: f64 = 0.4;
-/// A job is due after this many times what it needs alone.
-const PATIENCE: u64 = 8;
-
-/// What a submission that is in order asks for.
-struct Checked {
-    account: Arc<Account>,
-    expected_ms: u32,
-    parameters: BTreeMap<String, ParameterValue>,
-}
-
+/// When a caller may ask again for what isn't known yet, in ms; chosen, not measured.
+pub(super) const ASK_AGAIN_MS: u64 = 500;
 impl Host {
     /// Takes a submission to wherever its shard is.
     pub(super) fn route(&mut self, waiter: Waiter, submission: Submission) {
@@ -160,7 +145,13 @@
 
     /// Refuses a new submission as its shard's owner. The refusal holds for
     /// earlier sendings that are still on their way.
-    fn refuse_new(&mut self, waiter: Waiter, shard: u16, submission: &Submission, answer: Answer) {
+    pub(super) fn refuse_new(
+        &mut self,
+        waiter: Waiter,
+        shard: u16,
+        submission: &Submission,
+        answer: Answer,
+    ) {
         let key = EntryKey {
             account: submission.account.clone(),
             submission: submission.id.clone(),
@@ -213,175 +204,4 @@
         let first = submission.attempt == 0 && young;
         first || !self.settings.safeguards.first_sending_check
     }
-
-    /// Checks a new submission, and plans its job or says why not.
-    fn plan(
-        &mut self,
-        entry: EntryKey,
-        shard: u16,
-        submission: Submission,
-        right: Right,
-    ) -> Result<JobPlan, Rejection> {
-        let checked = self.check(&submission)?;
-        let quota = self.quota(&entry.account, &checked.account);
-        let urgency = checked.account.urgency;
-        let queue = self.queue.account(&entry.account, urgency, quota);
-        Ok(JobPlan {
-            entry,
-            authority: JobAuthority {
-                shard,
-                epoch: right.epoch,
-                fence: right.fence,
-            },
-            account: checked.account,
-            queue,
-            submission: Arc::new(submission),
-            parameters: Arc::new(checked.parameters),
-            expected_ms: checked.expected_ms,
-        })
-    }
-
-    fn check(&self, submission: &Submission) -> Result<Checked, Rejection> {
-        let latest = self.now.plus_millis(self.settings.tuning.caller_skew_ms);
-        if submission.id.created() > latest {
-            return Err(Rejection::CreatedInFuture);
-        }
-        let Some(account) = self.config.account(&submission.account) else {
-            return Err(Rejection::UnknownAccount(submission.account.clone()));
-        };
-        if !account.halls.contains(&submission.id.hall) {
-            return Err(Rejection::HallNotAllowed(submission.id.hall.clone()));
-        }
-        let Some(template) = self.config.template(&submission.template) else {
-            return Err(Rejection::UnknownTemplate(submission.template.clone()));
-        };
-        let Some(set) = account.templates.get(&*submission.template) else {
-            return Err(Rejection::TemplateNotAllowed(submission.template.clone()));
-        };
-        let count = submission.tasks.len();
-        if count == 0 || count > template.max_tasks {
-            return Err(Rejection::TaskCount(count as u64));
-        }
-        let mut parameters = set.clone();
-        for (key, value) in &submission.parameters {
-            let rule = template.parameters.get(key);
-            if !rule.is_some_and(|r| r.admits(value)) {
-                let allowed = rule.map_or("no such parameter".to_owned(), |r| r.allowed());
-                let key = key.clone();
-                return Err(Rejection::Parameter { key, allowed });
-            }
-            parameters.insert(key.clone(), value.clone());
-        }
-        for (key, rule) in &template.parameters {
-            let default = || rule.default_value();
-            parameters.entry(key.clone()).or_insert_with(default);
-        }
-        Ok(Checked {
-            account: account.clone(),
-            expected_ms: template.expected_ms,
-            parameters,
-        })
-    }
-
-    /// Accepts a planned job if all of it can be finished in time.
-    fn accept(&mut self, waiter: Waiter, plan: JobPlan) {
-        let mut job = Job::new(plan, self.now);
-        // A caller whose clock is ahead waits no longer for that.
-        let waits_until = self.now.plus_millis(job.submission.deadline_ms);
-        job.deadline = job.deadline.min(waits_until);
-        job.due = self.due(&job);
-        if let Some(answer) = self.refuse(&job) {
-            let submission = job.submission.clone();
-            let shard = job.authority.shard;
-            return self.refuse_new(waiter, shard, &submission, answer);
-        }
-        self.last_job += 1;
-        let key = JobKey(self.last_job);
-        let entry = Entry {
-            shard: job.authority.shard,
-            digest: job.submission.digest(),
-            state: EntryState::Running(key),
-            attempt: job.submission.attempt,
-            deadline: job.deadline,
-            waiters: vec![waiter],
-        };
-        self.ledger.insert(job.entry.clone(), entry);
-        for task in &job.tasks {
-            self.queue.task_waits(job.queue, task.expected_ms);
-        }
-        self.queue.add_job(job.queue, job.due, key);
-        self.timers.set(job.deadline, Timer::JobDeadline(key));
-        self.jobs.insert(key, job);
-    }
-
-    /// Returns when a job should have begun. Small jobs are due soon, large
-    /// ones later in proportion to what they need, so that each waits for a
-    /// like part of its own time; none waits past the latest useful begin.
-    fn due(&self, job: &Job) -> Time {
-        let slots = u64::from(self.targets.own_capacity().max(1));
-        let alone_ms = u64::from(job.longest_ms()) + job.work_ms() / slots;
-        let latest = job.deadline.minus_millis(alone_ms);
-        let due = self.now.plus_millis(alone_ms * PATIENCE);
-        due.min(latest)
-    }
-
-    /// Returns why a job can't be taken, if it can't.
-    fn refuse(&mut self, job: &Job) -> Option<Answer> {
-        let refused = |reason, retry_after_ms| {
-            Some(Answer::Refused {
-                reason,
-                retry_after_ms,
-            })
-        };
-        if job.deadline <= self.now {
-            return refused(Refusal::TooLate, 0);
-        }
-        let retry_after_ms = spread_ms(&mut self.rng, ASK_AGAIN_MS);
-        if self.stop.asked && !self.can_hand_over() {
-            return refused(Refusal::Stopping, retry_after_ms);
-        }
-        if self.queue.tasks() + job.tasks.len() > self.settings.tuning.queue_limit {
-            return refused(Refusal::NoCapacity, retry_after_ms);
-        }
-        let over_quota = self.queue.over_quota(job.queue);
-        let load = self.load_before(job, over_quota);
-        let pace = f64::from(self.pace.ratio());
-        let need = Need {
-            work_ms: job.work_ms() as f64 * pace,
-            longest_ms: f64::from(job.longest_ms()) * pace,
-        };
-        match judge(load, need, self.now, job.deadline) {
-            Verdict::Accept => None,
-            Verdict::Refuse { late_ms } => {
-                let reason = if over_quota {
-                    Refusal::OverQuota
-                } else {
-                    Refusal::NoCapacity
-                };
-                let wait_ms = late_ms.max(ASK_AGAIN_MS / 2);
-                let retry_after_ms = spread_ms(&mut self.rng, wait_ms);
-                refused(reason, retry_after_ms)
-            }
-        }
-    }
-
-    fn load_before(&self, job: &Job, over_quota: bool) -> Load {
-        let own = f64::from(self.targets.own_capacity());
-        let lendable = f64::from(self.lendable_by_peers(&job.account.halls));
-        let mut slots = own + lendable;
-        if own == 0.0 {
-            slots = slots.max(f64::from(self.fair_part_of(&job.account.halls)));
-        }
-        let pace = f64::from(self.pace.ratio());
-        let ahead = self.queue.work_ahead_ms(job.queue) as f64 * pace;
-        let busy = f64::from(self.targets.own_capacity() - self.targets.own_free().min(own as u32));
-        // A running task is on average half done.
-        let running_ms = busy * f64::from(job.longest_ms()) * pace / 2.0;
-        let queued = self.queue.tasks() > 0;
-        let part = if over_quota { OVER_QUOTA_PART } else { 1.0 };
-        Load {
-            slots: slots * part,
-            ahead_ms: if queued { ahead + running_ms } else { ahead },
-        }
-    }
 }
