--- a/crates/entry-core/src/host/borrow.rs
+++ b/crates/entry-core/src/host/borrow.rs
@@ -7,8 +7,9 @@
 use gannetridge_wire::Name;
 use rand::Rng;
 
+use super::calls::Call;
 use super::timers::Timer;
-use super::{Call, Host};
+use super::Host;
 use crate::action::Waste;
 use crate::event::SendFailure;
 use crate::loans::LoanKey;
--- a/crates/entry-core/src/host/configure.rs
+++ b/crates/entry-core/src/host/configure.rs
@@ -1,24 +1,25 @@
-//! Follows the configuration, and carries operators' changes to the table.
+//! Writes operators' changes to the table.
+//!
+//! A change reads the configuration's rows, is checked against them and written under
+//! the versions read; `CHANGE` (`charts`) says what may follow what.
 
 use std::collections::BTreeMap;
 
-use gannetridge_entry_config::{Document, DocumentKey, Faults};
-use gannetridge_entry_wire::peer::{ConfigDoc, ConfigSnapshot, PeerReply, PeerRequest};
-use gannetridge_entry_wire::platform::{
-    Check, HostList, Row, TableFailure, TableOp, TableResult, Write,
-};
+use gannetridge_entry_config::{Document, Faults};
+use gannetridge_entry_wire::peer::{ConfigDoc, ConfigSnapshot};
+use gannetridge_entry_wire::platform::{Check, TableFailure, TableOp, TableResult, Write};
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
-use serde::{Deserialize, Serialize};
 
+use super::calls::Call;
+use super::config_rows::{read_rows, row_key, ConfigRows, Head};
 use super::timers::Timer;
-use super::{Call, Host};
-use crate::action::{Action, Note};
+use super::Host;
+use crate::action::Action;
 use crate::charts::{ChangeEvent, ChangeState, CHANGE};
 use crate::config_store::{CONFIG_HEAD, CONFIG_PREFIX};
-use crate::event::{ChangeAnswer, ChangeRequest, SendFailure, Token};
+use crate::event::{ChangeAnswer, ChangeRequest, Token};
 use crate::retry::backoff_ms;
-use crate::settings::Placement;
 
 /// How long an operator's change is tried, in ms.
 const CHANGE_TIME_MS: u64 = 6_000;
@@ -28,15 +29,6 @@
 const LAST_TRY_MS: u64 = 800;
 /// Change ids that a document remembers.
 const REMEMBERED_CHANGES: usize = 16;
-/// How long the reply to a pull is awaited, in ms.
-const PULL_WAIT_MS: u64 = 2_000;
-
-/// The row that holds the configuration's version.
-#[derive(Serialize, Deserialize)]
-struct Head {
-    version: u64,
-}
-
 /// An operator's change on its way.
 #[derive(Debug)]
 pub(super) struct Change {
@@ -49,37 +41,6 @@
     tries: u32,
 }
 
-/// The configuration's rows as they were read at one time.
-struct ConfigRows {
-    snapshot: ConfigSnapshot,
-    head_row: u64,
-    doc_rows: Vec<(Name, u64)>,
-}
-
-fn read_rows(rows: &[Row]) -> Option<ConfigRows> {
-    let mut read = ConfigRows {
-        snapshot: ConfigSnapshot::default(),
-        head_row: 0,
-        doc_rows: Vec::new(),
-    };
-    for row in rows {
-        if &*row.key == CONFIG_HEAD {
-            let head: Head = serde_json::from_str(&row.value).ok()?;
-            read.snapshot.version = head.version;
-            read.head_row = row.version;
-        } else {
-            let doc: ConfigDoc = serde_json::from_str(&row.value).ok()?;
-            read.doc_rows.push((doc.key.clone(), row.version));
-            read.snapshot.docs.push(doc);
-        }
-    }
-    Some(read)
-}
-
-fn row_key(key: &DocumentKey) -> Name {
-    format!("{CONFIG_PREFIX}{key}").into()
-}
-
 /// Operators' changes that are under way.
 #[derive(Debug, Default)]
 pub(super) struct Changes {
@@ -89,98 +50,6 @@
 }
 
 impl Host {
-    // ---- following ----
-
-    pub(super) fn on_head_read(&mut self, reply: Result<TableResult, TableFailure>) {
-        let Ok(TableResult::Rows { rows }) = reply else {
-            return;
-        };
-        let Some(row) = rows.first() else {
-            return;
-        };
-        let head: Result<Head, _> = serde_json::from_str(&row.value);
-        if head.is_ok_and(|head| head.version > self.config.version()) {
-            let prefix = CONFIG_PREFIX.into();
-            self.call_table(Call::ReadConfig, TableOp::Scan { prefix });
-        }
-    }
-
-    pub(super) fn on_config_read(&mut self, reply: Result<TableResult, TableFailure>) {
-        let Ok(TableResult::Rows { rows }) = reply else {
-            return;
-        };
-        if let Some(read) = read_rows(&rows) {
-            self.put_in_force(read.snapshot);
-        }
-    }
-
-    fn put_in_force(&mut self, snapshot: ConfigSnapshot) {
-        let before = self.config.version();
-        let check = self.settings.safeguards.version_check;
-        if !self.config.apply(snapshot, check) {
-            return;
-        }
-        let version = self.config.version();
-        assert!(version > before || !check, "a configuration never reverts");
-        self.targets.set_draining(self.config.draining());
-        self.note(Note::ConfigInForce { version });
-    }
-
-    pub(super) fn pull_config(&mut self, address: Name) {
-        let have = self.config.version();
-        let want_list = self.targets.is_empty();
-        let request = PeerRequest::ConfigPull { have, want_list };
-        self.call_peer(Call::ConfigPull, address, request, PULL_WAIT_MS);
-    }
-
-    pub(super) fn on_config_pull(&mut self, token: Token, have: u64, want_list: bool) {
-        let newer = self.config.version() > have;
-        let snapshot = newer.then(|| self.config.snapshot().clone());
-        let list = want_list.then(|| self.list.clone()).flatten();
-        self.reply(token, PeerReply::Config { snapshot, list });
-    }
-
-    pub(super) fn on_config_pulled(&mut self, reply: Result<PeerReply, SendFailure>) {
-        let Ok(PeerReply::Config { snapshot, list }) = reply else {
-            return;
-        };
-        if let Some(snapshot) = snapshot {
-            self.put_in_force(snapshot);
-        }
-        // The platform's own word goes before a peer's memory of it.
-        if let (Some(list), true) = (list, self.targets.is_empty()) {
-            self.take_list(list);
-        }
-    }
-
-    pub(super) fn read_list(&mut self) {
-        // Power of two goes by usage, which only a whole list tells.
-        let by_usage = self.settings.tuning.placement == Placement::PowerOfTwo;
-        let known = self.list.as_ref().filter(|_| !by_usage);
-        let after = known.map_or(0, |list| list.version);
-        self.out.push(Action::ReadList { after });
-    }
-
-    /// Takes over the platform's list, or what changed in it.
-    pub(super) fn take_list(&mut self, news: HostList) {
-        let mut news = news;
-        if !self.settings.safeguards.heed_leaving {
-            news.targets.iter_mut().for_each(|t| t.leaving = false);
-        }
-        let unchanged = news.is_unchanged();
-        let list = self.list.get_or_insert_default();
-        list.merge(news);
-        // Even an unchanged list can outlast an older word that a target is
-        // leaving.
-        if unchanged && !self.targets.any_leaving() {
-            return;
-        }
-        let lag_ms = self.settings.tuning.list_lag_ms;
-        self.targets.listed(list, self.now, lag_ms);
-    }
-
-    // ---- changing ----
-
     pub(super) fn on_change(&mut self, token: Token, request: ChangeRequest) {
         let file = request.key.to_string();
         if let Err(faults) = Document::read(request.key.kind, &file, &request.text) {
--- /dev/null
+++ b/crates/entry-core/src/host/follow.rs
@@ -0,0 +1,106 @@
+//! Follows the configuration and the platform's list, from the table and from peers.
+
+use gannetridge_entry_wire::peer::{ConfigSnapshot, PeerReply, PeerRequest};
+use gannetridge_entry_wire::platform::{HostList, TableFailure, TableOp, TableResult};
+use gannetridge_wire::Name;
+
+use super::calls::Call;
+use super::config_rows::{read_rows, Head};
+use super::Host;
+use crate::action::{Action, Note};
+use crate::config_store::CONFIG_PREFIX;
+use crate::event::{SendFailure, Token};
+use crate::settings::Placement;
+
+/// How long the reply to a pull is awaited, in ms.
+const PULL_WAIT_MS: u64 = 2_000;
+
+impl Host {
+    pub(super) fn on_head_read(&mut self, reply: Result<TableResult, TableFailure>) {
+        let Ok(TableResult::Rows { rows }) = reply else {
+            return;
+        };
+        let Some(row) = rows.first() else {
+            return;
+        };
+        let head: Result<Head, _> = serde_json::from_str(&row.value);
+        if head.is_ok_and(|head| head.version > self.config.version()) {
+            let prefix = CONFIG_PREFIX.into();
+            self.call_table(Call::ReadConfig, TableOp::Scan { prefix });
+        }
+    }
+
+    pub(super) fn on_config_read(&mut self, reply: Result<TableResult, TableFailure>) {
+        let Ok(TableResult::Rows { rows }) = reply else {
+            return;
+        };
+        if let Some(read) = read_rows(&rows) {
+            self.put_in_force(read.snapshot);
+        }
+    }
+
+    pub(super) fn put_in_force(&mut self, snapshot: ConfigSnapshot) {
+        let before = self.config.version();
+        let check = self.settings.safeguards.version_check;
+        if !self.config.apply(snapshot, check) {
+            return;
+        }
+        let version = self.config.version();
+        assert!(version > before || !check, "a configuration never reverts");
+        self.targets.set_draining(self.config.draining());
+        self.note(Note::ConfigInForce { version });
+    }
+
+    pub(super) fn pull_config(&mut self, address: Name) {
+        let have = self.config.version();
+        let want_list = self.targets.is_empty();
+        let request = PeerRequest::ConfigPull { have, want_list };
+        self.call_peer(Call::ConfigPull, address, request, PULL_WAIT_MS);
+    }
+
+    pub(super) fn on_config_pull(&mut self, token: Token, have: u64, want_list: bool) {
+        let newer = self.config.version() > have;
+        let snapshot = newer.then(|| self.config.snapshot().clone());
+        let list = want_list.then(|| self.list.clone()).flatten();
+        self.reply(token, PeerReply::Config { snapshot, list });
+    }
+
+    pub(super) fn on_config_pulled(&mut self, reply: Result<PeerReply, SendFailure>) {
+        let Ok(PeerReply::Config { snapshot, list }) = reply else {
+            return;
+        };
+        if let Some(snapshot) = snapshot {
+            self.put_in_force(snapshot);
+        }
+        // The platform's own word goes before a peer's memory of it.
+        if let (Some(list), true) = (list, self.targets.is_empty()) {
+            self.take_list(list);
+        }
+    }
+
+    pub(super) fn read_list(&mut self) {
+        // Power of two goes by usage, which only a whole list tells.
+        let by_usage = self.settings.tuning.placement == Placement::PowerOfTwo;
+        let known = self.list.as_ref().filter(|_| !by_usage);
+        let after = known.map_or(0, |list| list.version);
+        self.out.push(Action::ReadList { after });
+    }
+
+    /// Takes over the platform's list, or what changed in it.
+    pub(super) fn take_list(&mut self, news: HostList) {
+        let mut news = news;
+        if !self.settings.safeguards.heed_leaving {
+            news.targets.iter_mut().for_each(|t| t.leaving = false);
+        }
+        let unchanged = news.is_unchanged();
+        let list = self.list.get_or_insert_default();
+        list.merge(news);
+        // Even an unchanged list can outlast an older word that a target is
+        // leaving.
+        if unchanged && !self.targets.any_leaving() {
+            return;
+        }
+        let lag_ms = self.settings.tuning.list_lag_ms;
+        self.targets.listed(list, self.now, lag_ms);
+    }
+}
--- a/crates/entry-core/src/host/forward.rs
+++ b/crates/entry-core/src/host/forward.rs
@@ -6,8 +6,9 @@
 use gannetridge_entry_wire::{Answer, ShardId, Submission};
 use gannetridge_wire::Name;
 
+use super::calls::Call;
 use super::timers::Timer;
-use super::{Call, Host};
+use super::Host;
 use crate::action::Waste;
 use crate::charts::ShardState;
 use crate::event::SendFailure;
--- a/crates/entry-core/src/host/gossip.rs
+++ b/crates/entry-core/src/host/gossip.rs
@@ -7,7 +7,8 @@
 use gannetridge_wire::Name;
 
 use super::borrow::Lender;
-use super::{Call, Host};
+use super::calls::Call;
+use super::Host;
 use crate::event::{SendFailure, Token};
 
 /// A host counts for the division of slots while heard this lately, in ms.
--- a/crates/entry-core/src/host/handover.rs
+++ b/crates/entry-core/src/host/handover.rs
@@ -6,9 +6,10 @@
 use gannetridge_entry_wire::{HostId, Submission, Time};
 use gannetridge_wire::Name;
 
+use super::calls::Call;
 use super::timers::Timer;
 use super::updates::PendingUpdate;
-use super::{Call, Host};
+use super::Host;
 use crate::action::Note;
 use crate::event::{SendFailure, Token};
 use crate::ledger::Waiter;
--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -1,17 +1,24 @@
 //! One entry host: events in, actions out.
 //!
-//! The modules below each add one part to [`Host`]: `submit` takes
-//! submissions, `forward` passes them to the holder of their shard, `run`
-//! starts tasks and takes their results, `ask` asks after
-//! lost ones, `ends` ends jobs, `borrow` and `lend` move free slots between
-//! hosts, `quotas` counts accounts' slots, `gossip` exchanges heartbeats, `owner` keeps the lease, `handover`
-//! gives shards away, `configure` follows and changes the configuration.
+//! The modules below each add one part to [`Host`]. Submissions: `submit` takes them,
+//! `forward` passes them to the holder of their shard, `accept` decides which become
+//! jobs, `ends` ends jobs. Tasks: `run` starts them, `run_ends` takes the targets'
+//! replies, `ask` asks after lost ones, `retries` decides what is sent again. Slots:
+//! `borrow` and `lend` move free ones between hosts, `quotas` counts accounts' use.
+//! Shards: `owner` keeps the lease, `handover` gives shards away, `updates` tells
+//! their new hosts how jobs ended, `stopping` stops the host in order. What hosts
+//! know: `gossip` exchanges heartbeats, `follow` takes the configuration and the
+//! platform's list, `configure` writes operators' changes. `calls` and `timers` are
+//! what all of them use.
 
 mod accept;
 mod ask;
 mod borrow;
+mod calls;
+mod config_rows;
 mod configure;
 mod ends;
+mod follow;
 mod forward;
 mod gossip;
 mod handover;
@@ -29,13 +36,13 @@
 use std::collections::{BTreeMap, HashMap};
 
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_entry_wire::platform::{HostList, TableOp};
-use gannetridge_entry_wire::{Answer, Time};
+use gannetridge_entry_wire::platform::HostList;
+use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
-use crate::action::{Action, Note, Waste};
+use crate::action::Action;
 use crate::admission::Pace;
 use crate::config_store::ConfigStore;
 use crate::directory::Directory;
@@ -50,6 +57,7 @@
 use crate::settings::HostSettings;
 use crate::targets::Targets;
 
+use calls::{Call, Calls};
 use configure::Changes;
 use forward::Forwards;
 use gossip::Peer;
@@ -61,33 +69,6 @@
 use stopping::Stop;
 use timers::Timers;
 
-/// What a call to a peer or the table was for.
-#[derive(Clone, Debug)]
-enum Call {
-    Forward(u64),
-    Heartbeat { address: Name },
-    Borrow { address: Name },
-    Return,
-    Handover { serial: u64 },
-    Update { shard: u16, tries: u32 },
-    ConfigPull,
-    ReadRow,
-    WriteRow,
-    ReadHalls,
-    ReadHead,
-    ReadConfig,
-    ChangeRead(u64),
-    ChangeWrite(u64),
-}
-
-/// The calls that have no reply yet.
-#[derive(Debug, Default)]
-struct Calls {
-    open: HashMap<CallId, Call>,
-    /// The number of the last one.
-    last: u64,
-}
-
 /// One entry host.
 pub struct Host {
     settings: HostSettings,
@@ -326,50 +307,4 @@
             }
         }
     }
-
-    // ---- actions ----
-
-    fn new_call(&mut self) -> CallId {
-        self.calls.last += 1;
-        CallId(self.calls.last)
-    }
-
-    fn call_peer(&mut self, purpose: Call, address: Name, request: PeerRequest, wait_ms: u64) {
-        let call = self.new_call();
-        self.calls.open.insert(call, purpose);
-        self.out.push(Action::Call {
-            call,
-            address,
-            request,
-            wait_ms,
-        });
-    }
-
-    fn call_table(&mut self, purpose: Call, op: TableOp) {
-        let call = self.new_call();
-        self.calls.open.insert(call, purpose);
-        self.out.push(Action::Table { call, op });
-    }
-
-    fn reply(&mut self, token: Token, reply: PeerReply) {
-        self.out.push(Action::Reply { token, reply });
-    }
-
-    fn answer(&mut self, waiter: Waiter, answer: Answer) {
-        match waiter {
-            Waiter::Caller(token) => self.out.push(Action::Answer { token, answer }),
-            Waiter::Peer(token) | Waiter::PeerAgain(token) => {
-                let spare = self.spare();
-                self.reply(token, PeerReply::Answer { answer, spare });
-            }
-        }
-    }
-
-    fn note(&mut self, note: Note) {
-        self.out.push(Action::Note(note));
-    }
-
-    fn waste(&mut self, waste: Waste) {
-        self.note(Note::Wasted(waste));
-    }
 }
--- a/crates/entry-core/src/host/owner.rs
+++ b/crates/entry-core/src/host/owner.rs
@@ -8,7 +8,8 @@
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 
-use super::{Call, Host};
+use super::calls::Call;
+use super::Host;
 use crate::action::Note;
 use crate::event::CallId;
 use crate::ownership::Changes;
--- a/crates/entry-core/src/host/timers.rs
+++ b/crates/entry-core/src/host/timers.rs
@@ -6,7 +6,8 @@
 use gannetridge_entry_wire::Time;
 use rand::Rng;
 
-use super::{Call, Host};
+use super::calls::Call;
+use super::Host;
 use crate::config_store::CONFIG_HEAD;
 use crate::event::CallId;
 use crate::keys::JobKey;
--- a/crates/entry-core/src/host/updates.rs
+++ b/crates/entry-core/src/host/updates.rs
@@ -8,9 +8,10 @@
 use gannetridge_entry_wire::peer::{LedgerRecord, PeerReply, PeerRequest};
 use gannetridge_entry_wire::{Answer, FailureCause, Ran};
 
+use super::calls::Call;
 use super::handover::HANDOVER_RETRY_MS;
 use super::timers::Timer;
-use super::{Call, Host};
+use super::Host;
 use crate::event::SendFailure;
 use crate::job::Job;
 use crate::ledger::EntryState;
