--- /dev/null
+++ b/crates/entry-core/src/targets/division.rs
@@ -0,0 +1,37 @@
+//! Divides the targets' slots among the hall's hosts.
+//!
+//! The division follows from the list of hosts alone, so no message is needed for
+//! it, and no two hosts that agree on the list fill the same slot.
+
+use xxhash_rust::xxh3::xxh3_64;
+
+use super::{Target, TargetIndex, Targets};
+use crate::settings::Placement;
+
+impl Targets {
+    /// Divides every target's slots among the hall's hosts.
+    pub(super) fn divide(&mut self) {
+        for i in 0..self.all.len() {
+            let share = self.share_of(&self.all[i]);
+            self.update(TargetIndex(i as u32), |t| t.share = share);
+        }
+    }
+
+    fn share_of(&self, target: &Target) -> u32 {
+        let divided = matches!(self.placement, Placement::Shares | Placement::SharesLending);
+        if !divided {
+            return target.slots;
+        }
+        let place = self.members.iter().position(|name| *name == self.me);
+        let (Some(place), true) = (place, target.hall == self.hall) else {
+            return 0;
+        };
+        let hosts = self.members.len() as u64;
+        let slots = u64::from(target.slots);
+        // The remainder goes round, so that no host is always the poorer.
+        let first = xxh3_64(target.name.as_bytes()) % hosts;
+        let turn = (place as u64 + hosts - first) % hosts;
+        let extra = u64::from(turn < slots % hosts);
+        (slots / hosts + extra) as u32
+    }
+}
--- a/crates/entry-core/src/targets.rs
+++ b/crates/entry-core/src/targets/mod.rs
@@ -1,82 +1,28 @@
 //! The targets of all halls: whose slots are free, and which are trusted.
 //!
-//! Each slot of a target belongs to one of its hall's hosts at a time. The
-//! division follows from the list of hosts alone, so no message is needed for
-//! it, and no two hosts that agree on the list fill the same slot.
+//! Each slot of a target belongs to one of its hall's hosts at a time: `division`.
+//! Which target a task gets: `choice`.
+
+mod choice;
+mod division;
+mod target;
 
 use std::collections::{BTreeSet, HashMap};
 
 use gannetridge_entry_wire::platform::{HostList, ListedTarget};
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
-use rand::Rng;
-use rand_pcg::Pcg32;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::health::Health;
 use crate::settings::Placement;
 
+pub use target::Target;
+
 /// A target's position in the list of targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetIndex(pub u32);
 
-/// A runner on a worker.
-#[derive(Clone, Debug)]
-pub struct Target {
-    /// Its name.
-    pub name: Name,
-    /// Its address, `ip:port`.
-    pub address: Name,
-    /// Its hall.
-    pub hall: Name,
-    /// Tasks that it runs at once.
-    pub slots: u32,
-    /// Slots that this host may fill.
-    pub share: u32,
-    /// Slots of the share in use by this host's tasks.
-    pub in_use: u32,
-    /// Slots of the share lent to peers.
-    pub lent: u32,
-    /// Slots left alone for a moment, since the target was full.
-    pub blocked: u32,
-    /// Tasks of others that the platform last reported.
-    pub others: u32,
-    /// How far the target is trusted.
-    pub health: Health,
-    /// True while the hall is being emptied.
-    pub draining: bool,
-    /// True while the platform's list names the target.
-    pub listed: bool,
-    /// Orders targets that are otherwise alike, differently on each host.
-    tie_break: u16,
-}
-
-impl Target {
-    /// Tells whether the target may get new work at all.
-    #[must_use]
-    pub fn usable(&self) -> bool {
-        self.listed && !self.draining && self.health.usable()
-    }
-
-    /// Returns how many more tasks this host may start on its own share.
-    #[must_use]
-    pub fn free(&self) -> u32 {
-        if !self.usable() {
-            return 0;
-        }
-        let limit = self.health.limit().min(self.share);
-        limit.saturating_sub(self.in_use + self.lent + self.blocked)
-    }
-
-    /// Returns the rank among targets with free slots: slow ones last, then
-    /// those with the most free slots first.
-    fn rank(&self) -> u64 {
-        let slowness = u64::from(self.health.slowness());
-        let used = 1_000 - u64::from(self.free() * 1_000 / self.share.max(1));
-        (slowness * 1_001 + used) * (u64::from(u16::MAX) + 1) + u64::from(self.tie_break)
-    }
-}
-
 /// What the order of free targets holds of one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Indexed {
@@ -271,32 +217,6 @@
         }
     }
 
-    /// Divides every target's slots among the hall's hosts.
-    fn divide(&mut self) {
-        for i in 0..self.all.len() {
-            let share = self.share_of(&self.all[i]);
-            self.update(TargetIndex(i as u32), |t| t.share = share);
-        }
-    }
-
-    fn share_of(&self, target: &Target) -> u32 {
-        let divided = matches!(self.placement, Placement::Shares | Placement::SharesLending);
-        if !divided {
-            return target.slots;
-        }
-        let place = self.members.iter().position(|name| *name == self.me);
-        let (Some(place), true) = (place, target.hall == self.hall) else {
-            return 0;
-        };
-        let hosts = self.members.len() as u64;
-        let slots = u64::from(target.slots);
-        // The remainder goes round, so that no host is always the poorer.
-        let first = xxh3_64(target.name.as_bytes()) % hosts;
-        let turn = (place as u64 + hosts - first) % hosts;
-        let extra = u64::from(turn < slots % hosts);
-        (slots / hosts + extra) as u32
-    }
-
     /// Lets targets that have been left alone long enough be probed.
     pub fn revive(&mut self, now: Time) {
         for i in 0..self.all.len() {
@@ -305,50 +225,4 @@
             }
         }
     }
-
-    /// Chooses a target of this host's share for one task.
-    ///
-    /// `allowed` tells whether the task may run in a hall.
-    pub fn choose(
-        &mut self,
-        rng: &mut Pcg32,
-        allowed: impl Fn(&Name) -> bool,
-    ) -> Option<TargetIndex> {
-        let can_take = |t: &Target| t.free() > 0 && allowed(&t.hall);
-        match self.placement {
-            Placement::SharesLending | Placement::Shares | Placement::LeastInFlight => {
-                let mut ready = self.ready.iter().map(|(_, index)| *index);
-                ready.find(|index| can_take(self.get(*index)))
-            }
-            Placement::RoundRobin => {
-                let found = (0..self.all.len())
-                    .map(|step| (self.cursor + step) % self.all.len())
-                    .find(|i| can_take(&self.all[*i]))?;
-                self.cursor = found + 1;
-                Some(TargetIndex(found as u32))
-            }
-            Placement::Random => self.sample(rng, can_take),
-            Placement::PowerOfTwo => {
-                let a = self.sample(rng, can_take)?;
-                let b = self.sample(rng, can_take)?;
-                let load = |index| {
-                    let t: &Target = self.get(index);
-                    t.in_use + t.others
-                };
-                Some(if load(b) < load(a) { b } else { a })
-            }
-        }
-    }
-
-    fn sample(&self, rng: &mut Pcg32, can_take: impl Fn(&Target) -> bool) -> Option<TargetIndex> {
-        const TRIES: usize = 16;
-        for _ in 0..TRIES {
-            let i = rng.random_range(0..self.all.len().max(1));
-            if self.all.get(i).is_some_and(&can_take) {
-                return Some(TargetIndex(i as u32));
-            }
-        }
-        let found = self.all.iter().position(can_take)?;
-        Some(TargetIndex(found as u32))
-    }
 }
