--- a/crates/entry-core/src/ownership/mod.rs
+++ b/crates/entry-core/src/ownership/mod.rs
@@ -1,17 +1,15 @@
 //! Which shards this host may start submissions of, and until when.
 //!
 //! Ownership stands in the hall's row of the platform's table and moves by
-//! compare-and-set. A holder's right lasts until the end of its lease in the
-//! table. While the table is out, the right goes on for as long as every host
-//! that could take over has promised not to. A right that has lapsed once
-//! comes back through the table only.
+//! compare-and-set.
 //!
-//! `table` reads and writes the row, `promises` keeps what hosts promise each
-//! other, `handing` moves shards between hosts, `runs` knows which hosts have
-//! ended.
+//! `rights` says until when a right lasts, `table` reads and writes the row,
+//! `promises` keeps what hosts promise each other, `handing` moves shards between
+//! hosts, `runs` knows which hosts have ended.
 
 mod handing;
 mod promises;
+mod rights;
 mod runs;
 mod table;
 
@@ -22,6 +20,7 @@
 use gannetridge_entry_wire::{Epoch, HostId, Time};
 use gannetridge_wire::Name;
 
+pub use rights::Right;
 use runs::Runs;
 
 use crate::charts::{ShardState, SHARD};
@@ -30,19 +29,6 @@
 /// How long after its lease's end a host without shards stays in the row.
 const FORGET_MEMBER_MS: u64 = 60_000;
 
-/// The right to start submissions of a shard.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Right {
-    /// The epoch in force.
-    pub epoch: Epoch,
-    /// The lowest epoch that may still start tasks.
-    pub fence: Epoch,
-    /// Ids created up to this time may have been started by a lost owner.
-    pub cutoff: Time,
-    /// When the right ends unless it is renewed.
-    pub until: Time,
-}
-
 /// This host's view of one shard.
 #[derive(Clone, Debug)]
 struct LocalShard {
@@ -188,63 +174,6 @@
         self.shards[usize::from(shard)].state
     }
 
-    /// Returns the right to start submissions of a shard, if it is in force.
-    #[must_use]
-    pub fn right(&self, shard: u16, now: Time) -> Option<Right> {
-        let local = &self.shards[usize::from(shard)];
-        if !matches!(local.state, ShardState::Held | ShardState::Acting) {
-            return None;
-        }
-        self.right_as_holder(shard, now)
-    }
-
-    /// Returns the right that the holder's lease gives, whether or not the
-    /// shard is on its way to another host.
-    fn right_as_holder(&self, shard: u16, now: Time) -> Option<Right> {
-        let local = &self.shards[usize::from(shard)];
-        let lease = self.leases.get(&local.holder)?;
-        let mut until = lease.valid_until;
-        let mut lapsed = lease.lapsed || local.lapsed;
-        if local.state == ShardState::Acting && self.is_claimed(shard) {
-            // The claim may have been written without this host's knowing:
-            // then its own lease counts, and its own takers.
-            let own = self.leases.get(&self.me)?;
-            until = until.min(own.valid_until);
-            lapsed |= own.lapsed;
-        }
-        if self.safeguards.lapse_check && (lapsed || now > until) {
-            return None;
-        }
-        Some(Right {
-            epoch: local.epoch,
-            fence: local.fence,
-            cutoff: local.cutoff,
-            until,
-        })
-    }
-
-    /// Tells whether a write on its way claims a shard for this host.
-    fn is_claimed(&self, shard: u16) -> bool {
-        let attempt = self.attempt.as_ref();
-        attempt.is_some_and(|a| a.claims.contains_key(&shard))
-    }
-
-    /// Returns the latest time at which a task of a job accepted earlier may
-    /// begin, or `None` if the right to the shard has lapsed. A shard that was
-    /// handed over in order leaves its jobs with this host.
-    #[must_use]
-    pub fn begin_limit(&self, shard: u16, epoch: Epoch, now: Time) -> Option<Time> {
-        match self.state(shard) {
-            ShardState::Held | ShardState::Acting | ShardState::HandingOver => {
-                let right = self.right_as_holder(shard, now);
-                // A shard that was taken over and came back since has left its
-                // older jobs behind.
-                right.filter(|r| epoch >= r.fence).map(|r| r.until)
-            }
-            ShardState::Absent => Some(Time::MAX),
-        }
-    }
-
     /// Describes this host's part in a shard, for logs and failed checks.
     #[must_use]
     pub fn describe(&self, shard: u16) -> String {
@@ -254,22 +183,6 @@
         format!("{local:?}; {lease:?}; row {} {row:?}", self.version)
     }
 
-    /// Notes the time, and with it rights that have lapsed. To be called
-    /// before anything that could extend a right.
-    pub fn touch(&mut self, now: Time) {
-        for (holder, lease) in &mut self.leases {
-            if lease.lapsed || now <= lease.valid_until {
-                continue;
-            }
-            lease.lapsed = true;
-            // A later handover renews the lease, but not the right to shards
-            // that the holder may have taken back in between.
-            for shard in &mut self.shards {
-                shard.lapsed |= shard.state == ShardState::Acting && shard.holder == *holder;
-            }
-        }
-    }
-
     /// Notes that the host is stopping: it takes nothing over any more.
     pub fn stop(&mut self) {
         self.stopping = true;
@@ -301,21 +214,6 @@
         self.runs
             .retain(|id| row.member(id).is_some() || leases.contains_key(id) || takes(id));
     }
-
-    fn revalue(&mut self, holder: &HostId) {
-        let Some(lease) = self.leases.get_mut(holder) else {
-            return;
-        };
-        let promised = |taker: &HostId| {
-            let key = (holder.clone(), taker.clone());
-            self.promises.get(&key).copied().unwrap_or(Time::ZERO)
-        };
-        let harmless = |t: &HostId| self.runs.has_ended(t) || self.resigned.contains(t);
-        let needed = lease.takers.iter().filter(|t| !harmless(t));
-        let by_promise = needed.map(promised).min().unwrap_or(Time::MAX);
-        let extended = by_promise.min(lease.heir_until).min(lease.limit);
-        lease.valid_until = lease.table_until.max(extended);
-    }
 }
 
 /// What becomes of a handover at its receiver.
