--- a/crates/entry-sim/src/lib.rs
+++ b/crates/entry-sim/src/lib.rs
@@ -6,6 +6,7 @@
 //! says what must hold, [`mutants`] takes one mechanism out at a time, [`oracle`] is a
 //! dispatcher with perfect knowledge, to compare with.
 
+mod answers;
 mod callers;
 pub mod chaos;
 pub mod checks;
@@ -24,6 +25,7 @@
 pub mod report;
 mod runners;
 pub mod scenario;
+mod sendings;
 mod setup;
 mod starts;
 mod tables;
