--- a/crates/dispatcher-core/src/peers/mod.rs
+++ b/crates/dispatcher-core/src/peers/mod.rs
@@ -3,9 +3,10 @@
 //!
 //! [`Peers`] owns what this host knows of each of them. It learns of hosts from
 //! seeds, the store and other hosts, and forgets those that were silent for long.
-//! What it decides by stands in [`crate::rules`]: liveness, heartbeat intervals,
-//! peer choice. It relies on the dispatcher to send what is due.
+//! What it decides by stands in [`crate::rules`]: liveness, heartbeat intervals, and,
+//! for `choice`, peer choice. It relies on the dispatcher to send what is due.
 
+mod choice;
 mod outbox;
 mod owner_lease;
 mod peer;
@@ -17,12 +18,10 @@
 use gannetridge_wire::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::message::{HeartbeatReply, HostInfo, Reply, TaskOrder};
+use crate::message::{HeartbeatReply, HostInfo, Reply};
 use crate::rules::heartbeat_intervals::HeartbeatIntervals;
 use crate::rules::leases::Times;
 use crate::rules::liveness::is_in_minority;
-use crate::rules::peer_choice::{freer_of_two, Preference, ADVERTISED_PEERS};
-use crate::spec::Resources;
 use crate::Millis;
 
 pub use peer::{Peer, StopRequest};
@@ -34,16 +33,6 @@
 /// measured.
 const FORGET_MS: Millis = 60_000;
 
-/// A peer that is believed to have the resources for a task.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChosenPeer {
-    /// The peer.
-    pub name: Name,
-    /// Whether a task may be handed to it now; else its clock has to be heard
-    /// first.
-    pub has_fresh_clock: bool,
-}
-
 /// All other hosts.
 pub struct Peers {
     own: HostInfo,
@@ -218,51 +207,6 @@
         }
     }
 
-    /// Returns whether any peer is believed to have such resources.
-    #[must_use]
-    pub fn may_fit(&self, now: Millis, resources: &Resources) -> bool {
-        let peers = self.peers.values();
-        let mut open = peers.filter(|peer| peer.takes_tasks(now, &self.intervals));
-        open.any(|peer| peer.may_fit(resources))
-    }
-
-    /// Chooses a peer that is believed to have the resources for an order, and
-    /// takes them off that belief; see [`crate::rules::peer_choice`].
-    ///
-    /// `is_asked` tells whether a request goes to a peer anyway.
-    pub fn choose(
-        &mut self,
-        now: Millis,
-        order: &TaskOrder,
-        is_asked: impl Fn(&Name) -> bool,
-    ) -> Option<ChosenPeer> {
-        let intervals = self.intervals;
-        let preference = |peer: &Peer| Preference {
-            other_hall: peer.info.hall != self.own.hall,
-            extra_request: !is_asked(&peer.info.name),
-            stale_clock: !peer.heard.has_fresh_clock(now, &intervals),
-        };
-        let open = self.peers.values();
-        let open =
-            open.filter(|peer| peer.takes_tasks(now, &intervals) && peer.has_resources(order));
-        let ranked: Vec<(Preference, &Peer)> = open.map(|peer| (preference(peer), peer)).collect();
-        let best = ranked.iter().map(|(preference, _)| *preference).min()?;
-        let best: Vec<&Peer> = ranked
-            .iter()
-            .filter(|(preference, _)| *preference == best)
-            .map(|(_, peer)| *peer)
-            .collect();
-        let picked = freer_of_two(&order.id.task, best.len(), |at| best[at].free_cpu());
-        let chosen = ChosenPeer {
-            name: best[picked].info.name.clone(),
-            has_fresh_clock: best[picked].heard.has_fresh_clock(now, &intervals),
-        };
-        if let Some(peer) = self.peers.get_mut(&chosen.name) {
-            peer.deduct(order);
-        }
-        Some(chosen)
-    }
-
     /// Returns the peers to which a heartbeat is due.
     pub fn heartbeats_due(&mut self, now: Millis) -> Vec<Name> {
         let intervals = self.intervals;
@@ -286,20 +230,6 @@
         }
     }
 
-    /// Returns the peers to which a demand is advertised, others each time if there
-    /// are many.
-    pub fn advertised_to(&mut self, now: Millis) -> Vec<Name> {
-        let open = self.peers.iter();
-        let open = open.filter(|(_, peer)| peer.takes_tasks(now, &self.intervals));
-        let open: Vec<&Name> = open.map(|(name, _)| name).collect();
-        let first = self.next_advertised % open.len().max(1);
-        let count = ADVERTISED_PEERS.min(open.len());
-        let chosen = open.iter().cycle().skip(first).take(count);
-        let chosen: Vec<Name> = chosen.map(|name| (*name).clone()).collect();
-        self.next_advertised = first + chosen.len();
-        chosen
-    }
-
     /// Returns the seeds that are to be asked: those that no known host has as its
     /// address.
     pub fn seeds_due(&mut self, now: Millis) -> Vec<SocketAddr> {
