--- a/crates/dispatcher-core/src/dispatcher/placement.rs
+++ b/crates/dispatcher-core/src/dispatcher/placement.rs
@@ -8,7 +8,7 @@
 use gannetridge_wire::Name;
 
 use crate::jobs::{demand, WaitingTask};
-use crate::message::{Demand, Priority, Request, TaskOrder};
+use crate::message::{Demand, Request, TaskOrder};
 use crate::rules::peer_choice::is_advertised;
 use crate::rules::target_choice::NotFound;
 use crate::targets::Owner;
@@ -32,7 +32,6 @@
 struct FirstDemand {
     peer: Name,
     demand: Demand,
-    priority: Priority,
 }
 
 /// One pass over the waiting tasks.
@@ -131,10 +130,7 @@
         if self.stopping.is_some() || !demanded {
             return;
         }
-        while let Some(first) = self.first_demand(now) {
-            if next.is_some_and(|task| task.priority <= first.priority) {
-                return;
-            }
+        while let Some(first) = self.first_demand(now, next) {
             let Some(free) = self.targets.reserve(now, &first.peer, &first.demand) else {
                 return;
             };
@@ -146,7 +142,8 @@
         }
     }
 
-    fn first_demand(&self, now: Millis) -> Option<FirstDemand> {
+    /// Returns the peers' first demand, if it goes before the task `next` of this host.
+    fn first_demand(&self, now: Millis, next: Option<&WaitingTask>) -> Option<FirstDemand> {
         let intervals = self.peers.intervals();
         let peers = self.peers.iter();
         let open =
@@ -156,10 +153,14 @@
                 .partial_cmp(&b.priority)
                 .unwrap_or(Ordering::Equal)
         });
-        first.map(|(name, open)| FirstDemand {
+        let (name, open) = first?;
+        // Most calls end here, so nothing is cloned before.
+        if next.is_some_and(|task| task.priority <= open.priority) {
+            return None;
+        }
+        Some(FirstDemand {
             peer: name.clone(),
             demand: open.demand.clone(),
-            priority: open.priority,
         })
     }
 
