--- a/crates/dispatcher-core/src/rules/contention.rs
+++ b/crates/dispatcher-core/src/rules/contention.rs
@@ -37,7 +37,7 @@
 pub const BACKOFF_MS: Millis = 2_000;
 /// The longest back-off, in ms. Chosen, not measured.
 const LONGEST_BACKOFF_MS: Millis = 16_000;
-/// The most doublings of a back-off.
+/// The most doublings of a back-off. Chosen, not measured.
 const MOST_DOUBLINGS: u32 = 4;
 /// Lost claims are forgotten once a target was held for this long, in ms.
 /// Chosen, not measured.
--- a/crates/dispatcher-core/src/rules/target_health.rs
+++ b/crates/dispatcher-core/src/rules/target_health.rs
@@ -28,7 +28,7 @@
 const FIRST_SUSPENSION_MS: Millis = 1_000;
 /// The longest suspension, in ms. Chosen, not measured.
 const LONGEST_SUSPENSION_MS: Millis = 8_000;
-/// The most doublings of a suspension.
+/// The most doublings of a suspension. Chosen, not measured.
 const MOST_DOUBLINGS: u32 = 3;
 /// Calls in a row without reply after which a target is silent. Commit 747c58b.
 const MISSES_TO_SILENCE: u32 = 2;
--- a/crates/dispatcher-sim/src/callers.rs
+++ b/crates/dispatcher-sim/src/callers.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-/// How long a probe waits for its answer.
+/// How long a probe waits for its answer. Chosen, not measured.
 const PROBE_MS: Millis = 1_500;
 
 /// A job and its caller.
--- a/crates/dispatcher-sim/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -25,7 +25,7 @@
 
 use parts::{Happening, Host, LongPoll, Pending};
 
-/// Between steps of what runs on targets, in ms.
+/// Between steps of what runs on targets, in ms. Chosen, not measured.
 const STEP_MS: Millis = 5;
 /// From a change of the list until hosts hear of it, in ms.
 const NEWS_MS: Millis = 250;
@@ -33,20 +33,22 @@
 const LAPSE_MS: Millis = 4_500;
 /// A caller with less time than this, in ms, may get no answer in time.
 const HURRY_MS: Millis = 50;
-/// After the load, time in ms until every host must serve again.
+/// After the load, time in ms until every host must serve again. Chosen, not measured.
 const RECOVERY_MS: Millis = 12_000;
 /// Between probes of each host after that, in ms, and how many there are.
+/// Chosen, not measured.
 const PROBE_GAP_MS: Millis = 100;
 const PROBES: u64 = 10;
-/// Time for the last answers, in ms.
+/// Time for the last answers, in ms. Chosen, not measured.
 const AFTER_MS: Millis = 3_000;
-/// Faults begin when hosts have found each other, in ms.
+/// Faults begin when hosts have found each other, in ms. Chosen, not measured.
 const QUIET_MS: Millis = 2_000;
 /// The share of calls that are late, or whose answers are lost, during such a fault.
+/// Chosen, not measured.
 const HIT: f64 = 0.1;
 /// The wall clock's time when the run begins.
 const EPOCH_MS: u64 = 1_760_000_000_000;
-/// How often a task may fail.
+/// How often a task may fail. Chosen, not measured.
 const MAX_ATTEMPTS: u32 = 2;
 
 /// Hosts, targets, callers and the network between them.
--- a/crates/entry-call/src/send.rs
+++ b/crates/entry-call/src/send.rs
@@ -15,7 +15,8 @@
 /// Shortest pause between two sendings. Hosts rely on it: see the tuning's
 /// `min-resend-ms`.
 const LEAST_PAUSE_MS: u64 = 1_000;
-/// How long after the deadline an answer is still awaited, in ms.
+/// How long after the deadline an answer is still awaited, in ms. Chosen, not
+/// measured.
 const GRACE_MS: u64 = 3_000;
 
 /// Settings of a caller.
--- a/crates/entry-config/src/account.rs
+++ b/crates/entry-config/src/account.rs
@@ -48,6 +48,7 @@
 
 const KEYS: [&str; 5] = ["halls", "urgency", "quota-slots", "repeatable", "templates"];
 const URGENCIES: [&str; 3] = ["urgent", "normal", "background"];
+/// The largest quota that a document may give, in slots. Chosen, not measured.
 const MOST_SLOTS: i64 = 1_000_000;
 
 impl Account {
--- a/crates/entry-config/src/template.rs
+++ b/crates/entry-config/src/template.rs
@@ -81,6 +81,7 @@
 }
 
 const KEYS: [&str; 3] = ["expected-ms", "max-tasks", "parameters"];
+/// The longest time that a document may expect of a task, in ms. Chosen, not measured.
 const LONGEST_TASK_MS: i64 = 60_000;
 
 impl Template {
--- a/crates/entry-core/src/admission.rs
+++ b/crates/entry-core/src/admission.rs
@@ -2,7 +2,7 @@
 
 use gannetridge_entry_wire::Time;
 
-/// Part of the time left that a job's estimate may use.
+/// Part of the time left that a job's estimate may use. Chosen, not measured.
 const MARGIN: f64 = 0.95;
 
 /// What a job would have to share a host's slots with.
@@ -44,7 +44,8 @@
     if end_ms <= left_ms {
         return Verdict::Accept;
     }
-    // Without slots the estimate is endless; the caller asks again soon.
+    // Without slots the estimate is endless; the caller asks again soon. Chosen, not
+    // measured.
     const LONGEST_MS: f64 = 5_000.0;
     let late_ms = (end_ms - left_ms).min(LONGEST_MS);
     Verdict::Refuse {
@@ -65,7 +66,9 @@
 }
 
 impl Pace {
+    /// Weight of the newest task in the moving average. Chosen, not measured.
     const NEWEST_WEIGHT: f32 = 0.01;
+    /// The least ratio that is believed. Chosen, not measured.
     const LEAST: f32 = 0.05;
 
     /// Notes a task's time over the expected one.
--- a/crates/entry-core/src/health.rs
+++ b/crates/entry-core/src/health.rs
@@ -5,20 +5,21 @@
 use crate::charts::{TargetEvent, TargetState, TARGET};
 
 /// Failures in a row after which a target is left alone for a while.
+/// Chosen, not measured.
 const STRIKES: u32 = 3;
-/// Shortest time for which a target is left alone, in ms.
+/// Shortest time for which a target is left alone, in ms. Chosen, not measured.
 const FIRST_TIME_OUT_MS: u64 = 1_000;
-/// Longest time for which a target is left alone, in ms.
+/// Longest time for which a target is left alone, in ms. Chosen, not measured.
 const LAST_TIME_OUT_MS: u64 = 30_000;
-/// Tasks that must end in order before a target is trusted again.
+/// Tasks that must end in order before a target is trusted again. Chosen, not measured.
 const PROBES: u32 = 8;
-/// Weight of the newest task in the moving average of slowness.
+/// Weight of the newest task in the moving average of slowness. Chosen, not measured.
 const NEWEST_WEIGHT: f32 = 0.1;
 /// Slowness below which a target counts as ordinary.
 const ORDINARY: f32 = 1.5;
-/// Slowness is ranked in steps of this size.
+/// Slowness is ranked in steps of this size. Chosen, not measured.
 const STEP: f32 = 0.5;
-/// Slowest rank.
+/// Slowest rank. Chosen, not measured.
 const LAST_RANK: u32 = 20;
 
 /// What is known of a target.
--- a/crates/entry-core/src/host/accept.rs
+++ b/crates/entry-core/src/host/accept.rs
@@ -24,8 +24,9 @@
 use crate::retry::spread_ms;
 
 /// Part of the slots that a job of an account over its quota is judged by.
+/// Since commit 1743131; not measured alone.
 const OVER_QUOTA_PART: f64 = 0.4;
-/// A job is due after this many times what it needs alone.
+/// A job is due after this many times what it needs alone. Measured in commit f42bc6b.
 const PATIENCE: u64 = 8;
 
 /// What a submission that is in order asks for.
--- a/crates/entry-core/src/host/ask.rs
+++ b/crates/entry-core/src/host/ask.rs
@@ -12,7 +12,7 @@
 use crate::event::CallId;
 use crate::retry::backoff_ms;
 
-/// First wait before a target is asked again, in ms.
+/// First wait before a target is asked again, in ms. Chosen, not measured.
 const FIRST_ASK_MS: u64 = 20;
 
 impl Host {
--- a/crates/entry-core/src/host/borrow.rs
+++ b/crates/entry-core/src/host/borrow.rs
@@ -15,17 +15,20 @@
 use crate::loans::LoanKey;
 use crate::settings::Placement;
 
-/// Shortest pause after a peer had nothing to lend, in ms.
+/// Shortest pause after a peer had nothing to lend, in ms. Measured in commit 36ff713.
 const FIRST_PAUSE_MS: u64 = 100;
-/// Longest pause after a peer had nothing to lend, in ms.
+/// Longest pause after a peer had nothing to lend, in ms. Measured in commit 36ff713.
 const LAST_PAUSE_MS: u64 = 1_600;
-/// Returned slots are reported after this time, in ms.
+/// Returned slots are reported after this time, in ms. Chosen, not measured.
 const RETURN_MS: u64 = 5;
-/// How long a question may wait at a peer, in ms.
+/// How long a question may wait at a peer, in ms. Measured in commit f42bc6b.
 const QUESTION_MS: u64 = 1000;
-/// How long the reply is awaited beyond that, in ms.
+/// How long the reply is awaited beyond that, in ms. Chosen, not measured.
 const REPLY_MS: u64 = 500;
-/// Most slots asked for at a time.
+/// Most jobs that are looked at for the halls that they may use. Chosen, not
+/// measured.
+const MOST_LOOKED_AT: usize = 8;
+/// Most slots asked for at a time. Chosen, not measured.
 const MOST_SLOTS: u32 = 256;
 
 /// What a host knows of a peer's readiness to lend.
@@ -169,7 +172,6 @@
     /// Returns the halls that jobs with waiting tasks may use.
     fn halls_wanted(&self) -> BTreeSet<Name> {
         let waiting = self.jobs.values().filter(|job| !job.waiting.is_empty());
-        const MOST_LOOKED_AT: usize = 8;
         let halls = waiting
             .take(MOST_LOOKED_AT)
             .flat_map(|job| job.account.halls.iter());
--- a/crates/entry-core/src/host/configure.rs
+++ b/crates/entry-core/src/host/configure.rs
@@ -21,13 +21,13 @@
 use crate::event::{ChangeAnswer, ChangeRequest, Token};
 use crate::retry::backoff_ms;
 
-/// How long an operator's change is tried, in ms.
+/// How long an operator's change is tried, in ms. Chosen, not measured.
 const CHANGE_TIME_MS: u64 = 6_000;
-/// First wait before a change is tried again, in ms.
+/// First wait before a change is tried again, in ms. Chosen, not measured.
 const FIRST_TRY_MS: u64 = 50;
-/// Longest wait before a change is tried again, in ms.
+/// Longest wait before a change is tried again, in ms. Chosen, not measured.
 const LAST_TRY_MS: u64 = 800;
-/// Change ids that a document remembers.
+/// Change ids that a document remembers. Chosen, not measured.
 const REMEMBERED_CHANGES: usize = 16;
 /// An operator's change on its way.
 #[derive(Debug)]
--- a/crates/entry-core/src/host/follow.rs
+++ b/crates/entry-core/src/host/follow.rs
@@ -12,7 +12,7 @@
 use crate::event::{SendFailure, Token};
 use crate::settings::Placement;
 
-/// How long the reply to a pull is awaited, in ms.
+/// How long the reply to a pull is awaited, in ms. Chosen, not measured.
 const PULL_WAIT_MS: u64 = 2_000;
 
 impl Host {
--- a/crates/entry-core/src/host/forward.rs
+++ b/crates/entry-core/src/host/forward.rs
@@ -16,13 +16,14 @@
 use crate::retry::{backoff_ms, spread_ms};
 use crate::seen::SeenRequests;
 
-/// Rounds over all hosts that may know the holder.
+/// Rounds over all hosts that may know the holder. Chosen, not measured.
 const MOST_ROUNDS: u32 = 4;
-/// First wait between rounds, in ms.
+/// First wait between rounds, in ms. Chosen, not measured.
 const FIRST_WAIT_MS: u64 = 30;
-/// Longest wait between rounds, in ms.
+/// Longest wait between rounds, in ms. Chosen, not measured.
 const LAST_WAIT_MS: u64 = 500;
 /// How long after a job's deadline its answer may still come, in ms.
+/// Chosen, not measured.
 const ANSWER_GRACE_MS: u64 = 2_000;
 
 /// A submission on its way to its shard's holder.
--- a/crates/entry-core/src/host/gossip.rs
+++ b/crates/entry-core/src/host/gossip.rs
@@ -12,10 +12,11 @@
 use crate::event::{SendFailure, Token};
 
 /// A host counts for the division of slots while heard this lately, in ms.
+/// Chosen, not measured.
 pub(super) const SILENCE_MS: u64 = 3_000;
-/// Every so many heartbeats one goes to a host of another hall.
+/// Every so many heartbeats one goes to a host of another hall. Chosen, not measured.
 const FAR_EVERY: u64 = 3;
-/// How long the reply to a heartbeat is awaited, in ms.
+/// How long the reply to a heartbeat is awaited, in ms. Chosen, not measured.
 const HEARTBEAT_WAIT_MS: u64 = 1_000;
 
 /// Another entry host.
--- a/crates/entry-core/src/host/lend.rs
+++ b/crates/entry-core/src/host/lend.rs
@@ -16,8 +16,10 @@
 /// made both the tail and the waste worse.
 const KEEP_DIVISOR: u32 = 2;
 /// Longest time for which a question waits, whatever the asker says, in ms.
+/// Chosen, not measured.
 const LONGEST_WAIT_MS: u64 = 2_000;
 /// Most questions that wait at a time; beyond, they are answered at once.
+/// Chosen, not measured.
 const MOST_QUESTIONS: usize = 256;
 
 /// A peer's question for slots.
--- a/crates/entry-core/src/host/owner.rs
+++ b/crates/entry-core/src/host/owner.rs
@@ -14,7 +14,7 @@
 use crate::event::CallId;
 use crate::ownership::Changes;
 
-/// Shortest time between reads of another hall's row, in ms.
+/// Shortest time between reads of another hall's row, in ms. Chosen, not measured.
 const HALLS_READ_GAP_MS: u64 = 200;
 
 /// Reads of other halls' rows.
--- a/crates/entry-core/src/host/quotas.rs
+++ b/crates/entry-core/src/host/quotas.rs
@@ -17,9 +17,9 @@
 use super::Host;
 use crate::queue::Quota;
 
-/// Least part of a quota that a host has, in slots.
+/// Least part of a quota that a host has, in slots. Chosen, not measured.
 const LEAST_QUOTA: f64 = 1.0;
-/// How long news of another hall count, in ms.
+/// How long news of another hall count, in ms. Chosen, not measured.
 const FAR_NEWS_MS: u64 = 60_000;
 
 /// The slots that accounts use in other halls, as last heard.
--- a/crates/entry-core/src/host/retries.rs
+++ b/crates/entry-core/src/host/retries.rs
@@ -14,7 +14,7 @@
 use crate::charts::TaskEvent;
 use crate::keys::JobKey;
 
-/// Most times that one task is sent again.
+/// Most times that one task is sent again. Chosen, not measured.
 const MOST_RETRIES: u32 = 8;
 /// Wait before a task goes again when the retry budget is used up, in ms; chosen, not measured.
 const OUT_OF_BUDGET_MS: u64 = 200;
--- a/crates/entry-core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -20,6 +20,7 @@
 /// Longest wait before a target is asked again, in ms; chosen, not measured.
 pub(super) const LAST_ASK_MS: u64 = 500;
 /// A repeatable task is a straggler after this many times its expected time.
+/// Chosen, not measured.
 const STRAGGLER_FACTOR: u64 = 4;
 
 /// Whose slot a task takes.
--- a/crates/entry-core/src/host/timers.rs
+++ b/crates/entry-core/src/host/timers.rs
@@ -15,7 +15,7 @@
 
 /// Time between looks at what has grown old, in ms.
 const HOUSEKEEPING_MS: u64 = 250;
-/// Time between reads of the other halls' rows, in ms.
+/// Time between reads of the other halls' rows, in ms. Chosen, not measured.
 const HALLS_POLL_MS: u64 = 5_000;
 
 /// Something to do at a set time.
--- a/crates/entry-core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -65,7 +65,7 @@
     retention_ms: u64,
 }
 
-/// Entries are forgotten in steps of this many milliseconds.
+/// Entries are forgotten in steps of this many milliseconds. Chosen, not measured.
 const EXPIRY_STEP_MS: u64 = 1_000;
 
 impl Ledger {
--- a/crates/entry-core/src/ownership/mod.rs
+++ b/crates/entry-core/src/ownership/mod.rs
@@ -27,6 +27,7 @@
 use crate::settings::{HostSettings, Safeguards, Tuning};
 
 /// How long after its lease's end a host without shards stays in the row.
+/// Chosen, not measured.
 const FORGET_MEMBER_MS: u64 = 60_000;
 
 /// This host's view of one shard.
--- a/crates/entry-core/src/queue.rs
+++ b/crates/entry-core/src/queue.rs
@@ -9,10 +9,13 @@
 use crate::keys::{AccountIndex, JobKey};
 
 /// Part of a host's slots that an account just over its quota leaves free.
+/// Commit f42bc6b: twice as steep was worse.
 const LEAST_RESERVE: f64 = 0.1;
 /// Part that it leaves free in addition for each time its quota beyond.
+/// Commit f42bc6b: twice as steep was worse.
 const RESERVE_SLOPE: f64 = 0.25;
 /// Most that an account over its quota leaves free.
+/// Commit f42bc6b: twice as steep was worse.
 const MOST_RESERVE: f64 = 0.6;
 
 /// What an account may use, in slots.
--- a/crates/entry-core/src/retry.rs
+++ b/crates/entry-core/src/retry.rs
@@ -4,11 +4,11 @@
 use rand::Rng;
 use rand_pcg::Pcg32;
 
-/// Part of a retry that each first try pays for.
+/// Part of a retry that each first try pays for. Chosen, not measured.
 const EARNED: f64 = 0.1;
-/// Retries that may be saved up.
+/// Retries that may be saved up. Chosen, not measured.
 const MOST_SAVED: f64 = 200.0;
-/// Retries allowed each second whatever the load.
+/// Retries allowed each second whatever the load. Chosen, not measured.
 const PER_SECOND: f64 = 10.0;
 
 /// Bounds retries to a part of first tries, so that an outage or a burst
--- a/crates/entry-core/src/seen.rs
+++ b/crates/entry-core/src/seen.rs
@@ -5,6 +5,7 @@
 use gannetridge_entry_wire::{HostId, Time};
 
 /// How long a request is remembered, in ms. No copy travels for longer.
+/// Chosen, not measured.
 const MEMORY_MS: u64 = 10_000;
 
 /// Names a request: its sender and the sender's number of it.
--- a/crates/entry-sim/src/chaos.rs
+++ b/crates/entry-sim/src/chaos.rs
@@ -8,6 +8,7 @@
 use crate::world::World;
 
 /// Time after the last job and fault in which everything comes to rest, in ms.
+/// Chosen, not measured.
 const TAIL_MS: u64 = 60_000;
 
 /// Returns the scenario of a seed.
--- a/crates/entry-sim/src/load.rs
+++ b/crates/entry-sim/src/load.rs
@@ -9,7 +9,7 @@
 use crate::scenario::AccountLoad;
 use crate::world::{Ev, World, START_MS};
 
-/// Least time between two sendings of a caller, in ms.
+/// Least time between two sendings of a caller, in ms. Chosen, not measured.
 pub(crate) const LEAST_RESEND_MS: u64 = 1_000;
 
 impl World {
--- a/crates/entry-sim/src/scenario.rs
+++ b/crates/entry-sim/src/scenario.rs
@@ -2,9 +2,9 @@
 
 use gannetridge_entry_core::{Safeguards, Tuning};
 
-/// How callers' clocks may be ahead or behind, in µs.
+/// How callers' clocks may be ahead or behind, in µs. Chosen, not measured.
 pub const CALLER_OFFSET_US: i64 = 250_000;
-/// How hosts' and runners' clocks may be ahead or behind, in µs.
+/// How hosts' and runners' clocks may be ahead or behind, in µs. Chosen, not measured.
 pub const CLOCK_OFFSET_US: i64 = 120_000;
 
 /// The machines.
--- a/crates/entry-sim/src/sendings.rs
+++ b/crates/entry-sim/src/sendings.rs
@@ -9,7 +9,7 @@
 use crate::load::LEAST_RESEND_MS;
 use crate::world::{Ev, World};
 
-/// Most times that a caller sends a job.
+/// Most times that a caller sends a job. Chosen, not measured.
 const MOST_SENDINGS: usize = 12;
 
 impl World {
--- a/crates/entry-sim/src/world.rs
+++ b/crates/entry-sim/src/world.rs
@@ -23,8 +23,9 @@
 /// When every run begins, in ms since the Unix epoch.
 pub const START_MS: u64 = 1_800_000_000_000;
 /// How long it takes to find out that a host can't be connected to, in µs.
+/// Chosen, not measured.
 pub(crate) const CONNECT_TIMEOUT_US: u64 = 500_000;
-/// How long a host waits for the table, in µs.
+/// How long a host waits for the table, in µs. Chosen, not measured.
 pub(crate) const TABLE_TIMEOUT_US: u64 = 1_500_000;
 /// Time between refreshes of the platform's list, in µs.
 pub(crate) const LIST_LAG_US: u64 = 1_000_000;
--- a/src/api.rs
+++ b/src/api.rs
@@ -11,8 +11,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
+/// How long an answer of a host is awaited. Chosen, not measured.
 const WAIT: Duration = Duration::from_secs(10);
-/// Times that a change whose outcome is unknown is sent again.
+/// Times that a change whose outcome is unknown is sent again. Chosen, not
+/// measured.
 const CHANGE_TRIES: u32 = 5;
 
 /// Settings of the operators' command line.
--- a/src/cmd/follow.rs
+++ b/src/cmd/follow.rs
@@ -7,7 +7,9 @@
 
 use crate::api::Api;
 
+/// Between two looks at all hosts. Chosen, not measured.
 const PAUSE: Duration = Duration::from_millis(200);
+/// How long is followed without `--seconds`. Chosen, not measured.
 const USUAL_SECONDS: u64 = 30;
 
 /// Options of `follow`.
