--- a/crates/dispatcher-core/tests/many_peers.rs
+++ b/crates/dispatcher-core/tests/many_peers.rs
@@ -128,7 +128,7 @@
         let age = rig.now + 90_000 - newest;
         assert!(
             age < owner_lease,
-            "what vouches for the run is {age} ms old"
+            "the newest echo at the holder is {age} ms old"
         );
     }
 });
--- a/crates/dispatcher-core/tests/support/mod.rs
+++ b/crates/dispatcher-core/tests/support/mod.rs
@@ -269,7 +269,7 @@
         found
     }
 
-    /// A peer's reply that offers room.
+    /// A peer's request that reserves resources.
     pub fn reply(&self, body: ReplyBody, free_cpu: u32) -> Box<Reply> {
         let free = FreeResources {
             pool: "pool".into(),
--- a/crates/dispatcher-core/tests/target_leases.rs
+++ b/crates/dispatcher-core/tests/target_leases.rs
@@ -23,7 +23,7 @@
         rig.event(Event::TargetsRead(vec![target("near", 16)]));
         rig.pass(1_000);
         let (call, until) = rig.renewals().remove(0);
-        assert_eq!(until, None, "nobody vouches for what it finds");
+        assert_eq!(until, None, "no owner is known of what it finds");
         let unknown = gannetridge_dispatcher_core::message::AttemptId {
             task: "00000000000000aa.0.0.0".into(),
             attempt: 1,
--- a/crates/dispatcher-sim/tests/promises.rs
+++ b/crates/dispatcher-sim/tests/promises.rs
@@ -31,7 +31,7 @@
 }
 
 /// So many hosts that idle pairs of them hear of each other more rarely than
-/// vouches last.
+/// owner leases last.
 #[test]
 fn promises_are_kept_among_many_hosts() {
     for seed in 1..=3 {
