--- a/crates/dispatcher-core/tests/support/mod.rs
+++ b/crates/dispatcher-core/tests/support/mod.rs
@@ -269,7 +269,7 @@
         found
     }
 
-    /// A peer's request that reserves resources.
+    /// A peer's reply, with the free resources that it advertises.
     pub fn reply(&self, body: ReplyBody, free_cpu: u32) -> Box<Reply> {
         let free = FreeResources {
             pool: "pool".into(),
