--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -8,8 +8,8 @@
 //! Shards: `owner` keeps the lease, `handover` gives shards away, `updates` tells
 //! their new hosts how jobs ended, `stopping` stops the host in order. What hosts
 //! know: `gossip` exchanges heartbeats, `follow` takes the configuration and the
-//! platform's list, `configure` writes operators' changes. `calls` and `timers` are
-//! what all of them use.
+//! platform's list, `configure` writes operators' changes. `peers`
+//! leads peers' requests and replies to these; `calls` and `timers` serve them all.
 
 mod accept;
 mod ask;
@@ -24,6 +24,7 @@
 mod handover;
 mod lend;
 mod owner;
+mod peers;
 mod quotas;
 mod retries;
 mod run;
@@ -35,7 +36,6 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_entry_wire::platform::HostList;
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
@@ -46,7 +46,7 @@
 use crate::admission::Pace;
 use crate::config_store::ConfigStore;
 use crate::directory::Directory;
-use crate::event::{CallId, Event, SendFailure, Token};
+use crate::event::{CallId, Event};
 use crate::job::Job;
 use crate::keys::JobKey;
 use crate::ledger::{Ledger, Waiter};
@@ -57,12 +57,12 @@
 use crate::settings::HostSettings;
 use crate::targets::Targets;
 
-use calls::{Call, Calls};
+use calls::Calls;
 use configure::Changes;
 use forward::Forwards;
 use gossip::Peer;
 use handover::Handovers;
-use lend::{Question, Questions};
+use lend::Questions;
 use owner::HallReads;
 use quotas::FarUsage;
 use run::RunningTask;
@@ -231,80 +231,4 @@
         self.check_stopped();
         std::mem::take(&mut self.out)
     }
-
-    fn on_peer_reply(&mut self, call: CallId, reply: Result<PeerReply, SendFailure>) {
-        let Some(purpose) = self.calls.open.remove(&call) else {
-            return;
-        };
-        match purpose {
-            Call::Forward(forward) => self.on_forwarded(forward, reply),
-            Call::Heartbeat { address } => self.on_heartbeat_reply(&address, reply),
-            Call::Borrow { address } => self.on_lent(address, reply),
-            Call::Handover { serial } => self.on_handover_reply(serial, reply),
-            Call::Update { shard, tries } => self.on_update_reply(shard, tries, reply),
-            Call::ConfigPull => self.on_config_pulled(reply),
-            // A lost return costs slots until the loan is overdue.
-            Call::Return => {}
-            Call::ReadRow
-            | Call::WriteRow
-            | Call::ReadHalls
-            | Call::ReadHead
-            | Call::ReadConfig
-            | Call::ChangeRead(_)
-            | Call::ChangeWrite(_) => unreachable!("peers don't answer for the table"),
-        }
-    }
-
-    fn on_peer(&mut self, token: Token, request: PeerRequest) {
-        match request {
-            PeerRequest::Submit {
-                from,
-                serial,
-                again,
-                submission,
-            } => {
-                if self.forwards.seen.is_new((from, serial), self.now) {
-                    let waiter = if again {
-                        Waiter::PeerAgain(token)
-                    } else {
-                        Waiter::Peer(token)
-                    };
-                    self.route(waiter, submission);
-                } else {
-                    self.reply(token, PeerReply::NotHolder { address: None });
-                }
-            }
-            PeerRequest::Heartbeat { status, promises } => {
-                self.on_heartbeat(token, status, &promises);
-            }
-            PeerRequest::Borrow {
-                from,
-                count,
-                over_quota,
-                due,
-                wait_ms,
-            } => {
-                let question = Question {
-                    token,
-                    count,
-                    over_quota,
-                    due,
-                    wait_ms,
-                };
-                self.on_borrow(&from, question);
-            }
-            PeerRequest::Return { loan, returned } => {
-                self.lent.returned(&mut self.targets, loan, &returned);
-                self.reply(token, PeerReply::Done);
-            }
-            PeerRequest::Handover(handover) => self.on_handover(token, *handover),
-            PeerRequest::Update { records } => {
-                self.merge_records(records);
-                self.reply(token, PeerReply::Done);
-            }
-            PeerRequest::ConfigPull { have, want_list } => {
-                self.on_config_pull(token, have, want_list);
-            }
-        }
-    }
 }
