--- a/crates/dispatcher-sim/src/target.rs
+++ b/crates/dispatcher-sim/src/target.rs
@@ -212,7 +212,7 @@
     }
 
     /// Extends the hold and takes note of ends; tells whether it may list.
-    pub fn target_lease(
+    pub fn renew(
         &mut self,
         now: Millis,
         token: u64,
--- a/crates/dispatcher-sim/src/world/network.rs
+++ b/crates/dispatcher-sim/src/world/network.rs
@@ -158,7 +158,7 @@
                 acknowledged,
                 wait_ms,
             } => {
-                if !target.target_lease(now, token, until, acknowledged) {
+                if !target.renew(now, token, until, acknowledged) {
                     let clock = target.clock(now) as Millis;
                     TargetReply::StaleToken { clock }
                 } else if target.ended.is_empty() && wait_ms > 0 {
--- a/scripts/days/early.sh
+++ b/scripts/days/before-traffic.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Writes days whose troubles come before the traffic does, and changes of the
 # configuration in quick succession while the store is silent.
-# Usage: early.sh FOLDER
+# Usage: before-traffic.sh FOLDER
 set -euo pipefail
 out=$1
 mkdir -p "$out"
--- a/scripts/days/make.sh
+++ b/scripts/days/each-kind-alone.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Writes a day of its own for each kind of trouble: alone, at full load.
-# Usage: make.sh FOLDER
+# Usage: each-kind-alone.sh FOLDER
 set -euo pipefail
 out=$1
 mkdir -p "$out"
--- a/scripts/days/pairs.sh
+++ b/scripts/days/each-kind-twice.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
 # Writes a day for each kind of trouble beside planned work: the configuration
 # changes and targets leave just before, during and after it; and it comes twice.
-# Usage: pairs.sh FOLDER
+# Usage: each-kind-twice.sh FOLDER
 set -euo pipefail
 out=$1
-"$(dirname "$0")/make.sh" "$out"
+"$(dirname "$0")/each-kind-alone.sh" "$out"
 for day in "$out"/*.toml; do
     fault=$(sed -n 's/^faults = \[\(.*\)\]$/\1/p' "$day")
     again=${fault/at = 8.0/at = 17.0}
--- a/scripts/days/play.sh
+++ b/scripts/days/play.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
 # Plays each day of its own on a site and prints what was served and broken.
-# Usage: [DAYS=pairs.sh|early.sh] [SEED=N] [PLAYS=4] play.sh FLEETBENCH SITE [DAY...]
+# Usage: [DAYS=each-kind-twice.sh|before-traffic.sh] [SEED=N] [PLAYS=4] play.sh FLEETBENCH SITE [DAY...]
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 bench=$1 site=$2
 shift 2
 days=$(mktemp -d)
 trap 'rm -rf "$days"' EXIT
-scripts/days/"${DAYS:-make.sh}" "$days"
+scripts/days/"${DAYS:-each-kind-alone.sh}" "$days"
 [ $# -gt 0 ] || set -- $(cd "$days" && ls | sed 's/\.toml$//')
 play() {
     "$bench" run "$site" "$days/$1.toml" ${SEED:+--seed $SEED} --why "${DAYS:-alone}: $1" > "$days/$1.out" 2>&1 || true
--- a/scripts/sites/make.py
+++ b/scripts/sites/variants.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """Writes sites unlike a given one, to be played like it.
 
-Usage: make.py SITE FOLDER
+Usage: variants.py SITE FOLDER
 
 FOLDER gets a file for each variant, with the site's own table of messages
 beside it. The site's text is changed by rules, so that nothing of it has to
