--- a/crates/dispatcher-core/src/dispatcher/backlog.rs
+++ b/crates/dispatcher-core/src/dispatcher/backlog.rs
@@ -279,7 +279,7 @@
         let in_time = handed.task.latest_begin >= now;
         let waits_already = self.backlog.has_task(&order.id.task);
         let open = self.stopping.is_none() && in_time && !waits_already;
-        open && self.targets.may_begin(order)
+        open && self.targets.may_start(order)
     }
 
     /// Lets a task wait if a target is expected to have room for it in time, beside all that
--- a/crates/dispatcher-core/src/dispatcher/load.rs
+++ b/crates/dispatcher-core/src/dispatcher/load.rs
@@ -15,7 +15,7 @@
 use crate::rules::backlog::ROOM_TOLD_MS;
 use crate::rules::hall_load::HallLoad;
 use crate::spec::Resources;
-use crate::targets::PoolRoom;
+use crate::targets::PoolCapacity;
 use crate::Millis;
 
 use super::peer_calls::{body, Purpose};
@@ -25,14 +25,14 @@
 impl Dispatcher {
     /// Returns what this host's targets have to do, by pool.
     pub(super) fn pool_loads(&self, now: Millis) -> Vec<PoolLoad> {
-        let rooms = self.targets.pool_rooms(now).into_iter();
+        let rooms = self.targets.pool_capacities(now).into_iter();
         rooms.map(|room| self.pool_load(now, room)).collect()
     }
 
     /// Returns what the targets of one pool have to do, with what waits for them.
-    fn pool_load(&self, now: Millis, room: PoolRoom) -> PoolLoad {
+    fn pool_load(&self, now: Millis, room: PoolCapacity) -> PoolLoad {
         let mut load = PoolLoad {
-            queue_cpu: room.soon_cpu,
+            queue_cpu: room.soon_free_cpu,
             pool: room.pool,
             capacity_cpu: room.capacity_cpu,
             used_cpu: room.used_cpu,
@@ -72,7 +72,7 @@
             return HolderLoad::default();
         }
         HolderLoad {
-            room: self.targets.room(now),
+            room: self.targets.free_by_target(now),
             pools: self.pool_loads(now),
         }
     }
--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -201,7 +201,7 @@
     fn after_pause(&mut self, now: Millis, gap_ms: Millis) {
         self.record(Decision::StoodStill { gap_ms });
         self.calls.doubt();
-        self.targets.doubt_lives();
+        self.targets.mark_incarnations_unconfirmed();
         self.targets.end_expired(now);
     }
 
@@ -226,14 +226,14 @@
             Event::PeerReply { call, reply } => {
                 self.peer_replied(now, call, reply.map(|reply| *reply));
             }
-            Event::TargetReply { call, reply } => self.targets.replied(now, call, reply),
+            Event::TargetReply { call, reply } => self.targets.handle_reply(now, call, reply),
             Event::TargetsChanged(changes) => {
                 self.store_news.list_changed(&changes);
-                self.targets.list_changed(now, changes);
+                self.targets.apply_list_changes(now, changes);
             }
             Event::TargetsRead(list) => {
                 self.store_news.list_read(&list);
-                self.targets.list_read(now, list);
+                self.targets.replace_list(now, list);
             }
             Event::StoreAnswered {
                 table,
--- a/crates/dispatcher-core/src/dispatcher/owner_leases.rs
+++ b/crates/dispatcher-core/src/dispatcher/owner_leases.rs
@@ -41,9 +41,9 @@
         if self.settings.safeguards.owner_leases_expire {
             for name in expired {
                 let reason = StopReason::OwnerSilent;
-                self.backlog.drop_owner(&name, OwnerSession::END);
+                self.backlog.drop_owner(&name, OwnerSession::MAX);
                 self.targets
-                    .stop_owner(now, &name, OwnerSession::END, reason);
+                    .stop_earlier_sessions(now, &name, OwnerSession::MAX, reason);
             }
         }
         for name in lost {
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -316,7 +316,7 @@
     }
 
     fn reservation_declined(&mut self, now: Millis, name: &Name) {
-        self.targets.end_reservations(name);
+        self.targets.cancel_reservations(name);
         if let Some(peer) = self.peers.get_mut(name) {
             peer.set_demand(now, None);
         }
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -63,7 +63,8 @@
             let session = OwnerSession::of(envelope);
             let reason = StopReason::NewSession;
             self.backlog.drop_owner(name, session);
-            self.targets.stop_owner(now, name, session, reason);
+            self.targets
+                .stop_earlier_sessions(now, name, session, reason);
         }
         self.renew_owner_lease(now, name, envelope);
         true
@@ -158,7 +159,7 @@
         if self.stopping.is_some() {
             return Vec::new();
         }
-        self.targets.free(now)
+        self.targets.free_resources(now)
     }
 
     fn heartbeat_received(
@@ -210,7 +211,7 @@
                 started.push(position as u32);
             }
         }
-        self.targets.end_reservations(name);
+        self.targets.cancel_reservations(name);
         ReplyBody::Placed(started)
     }
 
--- a/crates/dispatcher-core/src/dispatcher/placement.rs
+++ b/crates/dispatcher-core/src/dispatcher/placement.rs
@@ -73,7 +73,7 @@
     now: Millis,
     order: &TaskOrder,
 ) -> bool {
-    targets.has_room(now, order) || peers.has_room(now, order)
+    targets.has_free_resources(now, order) || peers.has_room(now, order)
 }
 
 impl Dispatcher {
--- a/crates/dispatcher-core/src/dispatcher/store.rs
+++ b/crates/dispatcher-core/src/dispatcher/store.rs
@@ -38,7 +38,7 @@
 
     pub(super) fn store_reachable(&mut self, now: Millis, reachable: bool) {
         let changed = self.targets.is_store_reachable() != reachable;
-        self.targets.store_reachable(now, reachable);
+        self.targets.set_store_reachable(now, reachable);
         if changed {
             self.record(Decision::Store { reachable });
         }
@@ -122,11 +122,11 @@
         }
         if self.store_news.told(asked, &news) {
             match news.list.clone() {
-                ListNews::Whole(targets) => self.targets.list_read(now, targets.into()),
-                ListNews::WholeWithUnusable(list) => self.targets.list_read(now, list),
-                ListNews::Changes(changes) => self.targets.list_changed(now, changes),
+                ListNews::Whole(targets) => self.targets.replace_list(now, targets.into()),
+                ListNews::WholeWithUnusable(list) => self.targets.replace_list(now, list),
+                ListNews::Changes(changes) => self.targets.apply_list_changes(now, changes),
             }
-            self.targets.told_settled(news.settled);
+            self.targets.set_reported_settled(news.settled);
         }
         if let Some(peer) = self.peers.get_mut(name) {
             peer.version = peer.version.max(news.in_force);
--- a/crates/dispatcher-core/src/dispatcher/timers.rs
+++ b/crates/dispatcher-core/src/dispatcher/timers.rs
@@ -97,7 +97,7 @@
     fn is_starting(&mut self, now: Millis) -> bool {
         let age_ms = now.saturating_sub(self.timers.started.unwrap_or(now));
         let starting = is_starting(age_ms, self.timers.held_targets);
-        self.timers.held_targets = self.timers.held_targets || self.targets.holds_any();
+        self.timers.held_targets = self.timers.held_targets || self.targets.holds_any_lease();
         starting
     }
 
@@ -195,7 +195,7 @@
         let same_session = peer.owner_session() == report.owner.session;
         let waits = same_session && peer.owner_lease.is_valid();
         // Crashes count for the task also where its job has ended.
-        if waits && (report.wanted || crashed) {
+        if waits && (report.report_wanted || crashed) {
             peer.ends.push(report.end);
         } else if crashed {
             self.jobs.count_crash(now, &report.end);
--- a/crates/dispatcher-core/src/targets/attempt.rs
+++ b/crates/dispatcher-core/src/targets/attempt.rs
@@ -34,7 +34,7 @@
 
 impl OwnerSession {
     /// Later than all others.
-    pub const END: Self = Self {
+    pub const MAX: Self = Self {
         incarnation: u64::MAX,
         number: u64::MAX,
     };
@@ -281,5 +281,5 @@
     /// What its running time is learned by.
     pub task: MeasuredTask,
     /// Whether the owner wants to be told.
-    pub wanted: bool,
+    pub report_wanted: bool,
 }
--- a/crates/dispatcher-core/src/targets/ends.rs
+++ b/crates/dispatcher-core/src/targets/ends.rs
@@ -111,7 +111,7 @@
                 estimate_ms: attempt.estimate_ms,
                 is_far: attempt.is_far,
             },
-            wanted: attempt.report,
+            report_wanted: attempt.report,
         })
     }
 
--- a/crates/dispatcher-core/src/targets/list.rs
+++ b/crates/dispatcher-core/src/targets/list.rs
@@ -53,7 +53,7 @@
 
 impl TargetLeases {
     /// Records whether the store answers.
-    pub fn store_reachable(&mut self, now: Millis, reachable: bool) {
+    pub fn set_store_reachable(&mut self, now: Millis, reachable: bool) {
         if reachable && !self.store.reachable {
             self.store.back_at = now;
         }
@@ -69,7 +69,7 @@
 
     /// Records whether a target that isn't listed is gone, as another host told that
     /// reads the store.
-    pub fn told_settled(&mut self, settled: bool) {
+    pub fn set_reported_settled(&mut self, settled: bool) {
         self.store.told_settled = Some(settled);
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Handles changes of the list.
-    pub fn list_changed(&mut self, now: Millis, changes: Vec<TargetChange>) {
+    pub fn apply_list_changes(&mut self, now: Millis, changes: Vec<TargetChange>) {
         for change in changes {
             match change {
                 TargetChange::There(entry) => self.listed(now, entry),
@@ -91,11 +91,11 @@
     }
 
     /// Handles the whole list.
-    pub fn list_read(&mut self, now: Millis, list: TargetList) {
+    pub fn replace_list(&mut self, now: Millis, list: TargetList) {
         let listed: Vec<TargetChange> = list.into_changes().collect();
         let ids = listed.iter().map(|change| change.id().clone());
         let listed_ids: HashSet<Name> = ids.collect();
-        self.list_changed(now, listed);
+        self.apply_list_changes(now, listed);
         let missing = self.targets.keys().filter(|id| !listed_ids.contains(*id));
         let missing: Vec<Name> = missing.cloned().collect();
         for id in missing {
--- a/crates/dispatcher-core/src/targets/lives.rs
+++ b/crates/dispatcher-core/src/targets/lives.rs
@@ -24,7 +24,7 @@
 impl TargetLeases {
     /// Doubts the lives of all targets, since this host stood still: they may have started again
     /// and be another host's by now. What was on its way says nothing of them.
-    pub fn doubt_lives(&mut self) {
+    pub fn mark_incarnations_unconfirmed(&mut self) {
         for sent in self.calls.values_mut() {
             sent.before_pause = true;
         }
--- a/crates/dispatcher-core/src/targets/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -43,7 +43,7 @@
 use learned::LearnedTimes;
 use lease::Tokens;
 use list::StoreView;
-pub use room::PoolRoom;
+pub use room::PoolCapacity;
 pub use starts::Reach;
 use target::Target;
 pub use usable::Runnable;
@@ -213,7 +213,7 @@
 
     /// Returns whether this host holds the lease of any target.
     #[must_use]
-    pub fn holds_any(&self) -> bool {
+    pub fn holds_any_lease(&self) -> bool {
         self.leased_targets().any(|target| target.lease.is_held())
     }
 
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -22,7 +22,12 @@
 
 impl TargetLeases {
     /// Handles a target's reply, or that there is none.
-    pub fn replied(&mut self, now: Millis, call: CallId, reply: Result<TargetReply, SendFailure>) {
+    pub fn handle_reply(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        reply: Result<TargetReply, SendFailure>,
+    ) {
         let Some(sent) = self.calls.remove(&call) else {
             return;
         };
--- a/crates/dispatcher-core/src/targets/room.rs
+++ b/crates/dispatcher-core/src/targets/room.rs
@@ -22,7 +22,7 @@
 
 /// What this host's usable targets of one pool have.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PoolRoom {
+pub struct PoolCapacity {
     /// The pool.
     pub pool: Name,
     /// Thousandths of a core that they have.
@@ -31,7 +31,7 @@
     pub used_cpu: u32,
     /// Thousandths of a core that are free, or are expected to be before a task that comes now
     /// may no longer begin, as far as ordinary tasks fit into them.
-    pub soon_cpu: u32,
+    pub soon_free_cpu: u32,
 }
 
 /// What this host's usable targets of one pool have, and what runs there.
@@ -52,7 +52,7 @@
 
     /// Returns the usable targets with free resources, the freest first.
     #[must_use]
-    pub fn room(&self, now: Millis) -> Vec<TargetRoom> {
+    pub fn free_by_target(&self, now: Millis) -> Vec<TargetRoom> {
         let usable = self.usable_targets(now);
         let room = usable.map(|target| TargetRoom {
             target: target.entry.id.clone(),
@@ -66,15 +66,15 @@
 
     /// Returns what the usable targets have, by pool.
     #[must_use]
-    pub fn pool_rooms(&self, now: Millis) -> Vec<PoolRoom> {
-        let mut rooms: Vec<PoolRoom> = Vec::new();
+    pub fn pool_capacities(&self, now: Millis) -> Vec<PoolCapacity> {
+        let mut rooms: Vec<PoolCapacity> = Vec::new();
         let ordinary_cpu = self.ordinary_cpu(now);
         for target in self.usable_targets(now) {
             let known = rooms.iter_mut().find(|room| room.pool == target.entry.pool);
             let room = match known {
                 Some(room) => room,
                 None => {
-                    rooms.push(PoolRoom::empty(&target.entry.pool));
+                    rooms.push(PoolCapacity::empty(&target.entry.pool));
                     rooms.last_mut().expect("just added")
                 }
             };
@@ -119,13 +119,13 @@
     }
 }
 
-impl PoolRoom {
+impl PoolCapacity {
     fn empty(pool: &Name) -> Self {
         Self {
             pool: pool.clone(),
             capacity_cpu: 0,
             used_cpu: 0,
-            soon_cpu: 0,
+            soon_free_cpu: 0,
         }
     }
 
@@ -134,7 +134,7 @@
         let soon_cpu = free + target.expected_to_free(now, HANDED_MS);
         self.capacity_cpu += target.entry.capacity.cpu;
         self.used_cpu += target.entry.capacity.cpu.saturating_sub(free);
-        self.soon_cpu += whole_tasks_cpu(soon_cpu, ordinary_cpu);
+        self.soon_free_cpu += whole_tasks_cpu(soon_cpu, ordinary_cpu);
     }
 }
 
--- a/crates/dispatcher-core/src/targets/starts.rs
+++ b/crates/dispatcher-core/src/targets/starts.rs
@@ -30,7 +30,7 @@
     /// Returns whether a task may be started here: it isn't running here, and wasn't stopped
     /// before it came.
     #[must_use]
-    pub fn may_begin(&self, order: &TaskOrder) -> bool {
+    pub fn may_start(&self, order: &TaskOrder) -> bool {
         let known = self.tasks.contains(&order.id.task);
         !known && !self.stopped_early.contains_key(&order.id)
     }
@@ -47,7 +47,7 @@
         reach: Reach,
         urgency: u8,
     ) -> bool {
-        if !self.may_begin(order) {
+        if !self.may_start(order) {
             return false;
         }
         let fitting = self.usable_targets(now).filter(|target| {
@@ -127,7 +127,7 @@
     }
 
     /// Ends what is reserved for a peer.
-    pub fn end_reservations(&mut self, peer: &Name) {
+    pub fn cancel_reservations(&mut self, peer: &Name) {
         self.for_each_active(|target| target.end_reservation(peer));
     }
 }
--- a/crates/dispatcher-core/src/targets/stops.rs
+++ b/crates/dispatcher-core/src/targets/stops.rs
@@ -71,7 +71,7 @@
     /// Stops all attempts of an owner that belong to sessions before `session`: also those
     /// of an earlier incarnation that had the same number. Guards against two runs of a task
     /// at once after an owner died and was back within its lease, which renewed it.
-    pub fn stop_owner(
+    pub fn stop_earlier_sessions(
         &mut self,
         now: Millis,
         owner: &Name,
--- a/crates/dispatcher-core/src/targets/usable.rs
+++ b/crates/dispatcher-core/src/targets/usable.rs
@@ -45,7 +45,7 @@
     /// Returns the free resources, an entry for each usable target with some, the freest
     /// [`FREE_TOLD`].
     #[must_use]
-    pub fn free(&self, now: Millis) -> Vec<FreeResources> {
+    pub fn free_resources(&self, now: Millis) -> Vec<FreeResources> {
         let usable = self.usable_targets(now);
         let unreserved = usable.filter(|target| !target.is_reserved());
         let free = unreserved.map(Target::free_in_pool);
@@ -64,7 +64,7 @@
 
     /// Returns whether a target of this host has the resources for an order free.
     #[must_use]
-    pub fn has_room(&self, now: Millis, order: &TaskOrder) -> bool {
+    pub fn has_free_resources(&self, now: Millis, order: &TaskOrder) -> bool {
         let mut leased = self.leased_targets();
         leased.any(|target| {
             target_choice::suits(&target.entry, order)
