--- a/crates/dispatcher-core/src/targets/attempt.rs
+++ b/crates/dispatcher-core/src/targets/attempt.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopStage {
     /// The attempt is wanted.
-    Wanted,
+    NotRequested,
     /// A stop is to be sent.
     ToSend,
     /// A stop is on its way.
@@ -73,7 +73,7 @@
     pub(super) owner: Owner,
     pub(super) resources: Resources,
     /// What its start will carry, while that waits for its target to be heard.
-    pub(super) unsent: Option<Name>,
+    pub(super) unsent_specification: Option<Name>,
     /// When its start was sent.
     pub(super) started: Millis,
     pub(super) estimate_ms: Millis,
@@ -90,23 +90,23 @@
     /// When the target is known to have it.
     pub(super) confirmed: Option<Millis>,
     /// The latest time at which the target may begin it.
-    pub(super) latest_begin: Millis,
+    pub(super) latest_start: Millis,
     /// How far it has got, once its target has told that it has it.
     pub(super) progress: Option<Progress>,
     /// When its target last told how far it has got.
-    progress_heard: Millis,
+    progress_received: Millis,
     /// Whether it stands still, as its target's last listing showed.
     pub(super) stalled: bool,
     pub(super) stop: StopStage,
     /// Whether the owner wants to be told of its end.
-    pub(super) report: bool,
+    pub(super) report_end: bool,
 }
 
 impl Attempt {
     /// Creates an attempt whose start is to be sent.
-    pub(super) fn new(now: Millis, latest_begin: Millis, owner: &Owner, order: &TaskOrder) -> Self {
+    pub(super) fn new(now: Millis, latest_start: Millis, owner: &Owner, order: &TaskOrder) -> Self {
         Self {
-            unsent: Some(order.specification.clone()),
+            unsent_specification: Some(order.specification.clone()),
             kind: TaskKind::of(order),
             is_far: false,
             forecast: None,
@@ -117,12 +117,12 @@
             urgency: 0,
             spread: order.spread.as_ref().map(|limit| limit.step.clone()),
             confirmed: None,
-            latest_begin,
+            latest_start,
             progress: None,
-            progress_heard: now,
+            progress_received: now,
             stalled: false,
-            stop: StopStage::Wanted,
-            report: true,
+            stop: StopStage::NotRequested,
+            report_end: true,
         }
     }
 
@@ -136,10 +136,10 @@
     }
 
     /// Records that its start is sent now; returns what that carries, unless it was sent before.
-    pub(super) fn send(&mut self, now: Millis, latest_begin: Millis) -> Option<Name> {
-        let specification = self.unsent.take()?;
+    pub(super) fn mark_sent(&mut self, now: Millis, latest_start: Millis) -> Option<Name> {
+        let specification = self.unsent_specification.take()?;
         self.started = now;
-        self.latest_begin = latest_begin;
+        self.latest_start = latest_start;
         Some(specification)
     }
 
@@ -150,7 +150,7 @@
 
     /// Records how far its target's listing says that it has got.
     pub(super) fn observe_progress(&mut self, now: Millis, percent: u8, clock: Millis) {
-        self.progress_heard = now;
+        self.progress_received = now;
         let first = Progress::first_told(percent, clock);
         let progress = self.progress.get_or_insert(first);
         progress.observe(percent, clock);
@@ -166,8 +166,8 @@
         let Some(forecast) = &self.forecast else {
             return now > self.started + health.overrun_after_ms(self.estimate_ms);
         };
-        let tells = self.progress.is_some_and(|progress| progress.is_told());
-        !tells && now > self.started + forecast.overrun_after_ms
+        let reports_progress = self.progress.is_some_and(|progress| progress.is_told());
+        !reports_progress && now > self.started + forecast.overrun_after_ms
     }
 
     /// Returns the expected time until its end, in ms; `slowdown` counts where running times
@@ -183,56 +183,58 @@
     /// Has it stopped, with `report` telling whether its owner wants to know of
     /// its end. Returns false if it is being stopped already.
     pub(super) fn request_stop(&mut self, report: bool) -> bool {
-        self.report &= report;
-        let wanted = self.stop == StopStage::Wanted;
-        if wanted {
+        self.report_end &= report;
+        let not_requested = self.stop == StopStage::NotRequested;
+        if not_requested {
             self.stop = StopStage::ToSend;
         }
-        wanted
+        not_requested
     }
 
     /// Returns whether nobody waits to hear of its end, and its target hasn't confirmed its stop:
     /// its owner, or a caller that comes again, counts on its lease to end it.
-    pub(super) fn is_left_to_lease(&self) -> bool {
-        !self.report && matches!(self.stop, StopStage::ToSend | StopStage::Sent { .. })
+    pub(super) fn has_unconfirmed_stop(&self) -> bool {
+        !self.report_end && matches!(self.stop, StopStage::ToSend | StopStage::Sent { .. })
     }
 
     /// Returns whether a listing that was asked for at `asked` would show it if it
     /// ran: what came in the same millisecond may have come after.
-    pub(super) fn would_be_listed(&self, asked: Millis) -> bool {
-        let stopped = matches!(self.stop, StopStage::Done(at) if at < asked);
-        let confirmed = self.confirmed.is_some_and(|at| at < asked);
-        stopped || confirmed || self.latest_begin < asked
+    pub(super) fn would_be_listed(&self, requested: Millis) -> bool {
+        let stopped = matches!(self.stop, StopStage::Done(at) if at < requested);
+        let confirmed = self.confirmed.is_some_and(|at| at < requested);
+        stopped || confirmed || self.latest_start < requested
     }
 
     /// Returns whether it ran when its target was lost, which was known to be gone at `gone_by`;
     /// without that an attempt whose end wasn't heard counts as running.
-    pub(super) fn ran(&self, gone_by: Option<Millis>) -> Ran {
-        if self.unsent.is_some() {
+    pub(super) fn running_when_lost(&self, gone_by: Option<Millis>) -> Ran {
+        if self.unsent_specification.is_some() {
             return Ran::No;
         }
         let may_be_done = gone_by.is_some_and(|gone_by| self.earliest_end() <= gone_by);
         match (self.stop, self.confirmed) {
             (StopStage::Done(_), _) => Ran::No,
-            (StopStage::Wanted, Some(_)) if !may_be_done => Ran::Surely,
-            (StopStage::Wanted | StopStage::ToSend | StopStage::Sent { .. }, _) => Ran::Perhaps,
+            (StopStage::NotRequested, Some(_)) if !may_be_done => Ran::Surely,
+            (StopStage::NotRequested | StopStage::ToSend | StopStage::Sent { .. }, _) => {
+                Ran::Perhaps
+            }
         }
     }
 
     /// Returns the earliest time at which it may be done, as far as it has shown.
     fn earliest_end(&self) -> Millis {
         let estimate_ms = self.estimate_ms as f64;
-        let told = self.progress.filter(Progress::is_told);
-        let Some(progress) = told else {
+        let reported = self.progress.filter(Progress::is_told);
+        let Some(progress) = reported else {
             return self.started + crashes::least_remaining_ms(estimate_ms, 0);
         };
         let total_ms = progress.quickest_total_ms();
         let total_ms = total_ms.unwrap_or(estimate_ms).min(estimate_ms);
-        self.progress_heard + crashes::least_remaining_ms(total_ms, progress.percent())
+        self.progress_received + crashes::least_remaining_ms(total_ms, progress.percent())
     }
 
     /// Returns whether it counts for a limit of tasks of one step.
-    pub(super) fn counts_for(&self, limit: &SpreadLimit) -> bool {
+    pub(super) fn counts_towards(&self, limit: &SpreadLimit) -> bool {
         self.spread.as_ref() == Some(&limit.step)
     }
 
--- a/crates/dispatcher-core/src/targets/capacity.rs
+++ b/crates/dispatcher-core/src/targets/capacity.rs
@@ -20,7 +20,7 @@
 /// What a target has told of its capacity.
 #[derive(Debug)]
 pub(super) struct Capacity {
-    told: ToldCapacity,
+    reported: ToldCapacity,
     /// Whether its last listing told one that can't be read.
     unusable: bool,
 }
@@ -28,7 +28,7 @@
 impl Capacity {
     pub(super) fn new(entry: Resources) -> Self {
         Self {
-            told: ToldCapacity::new(entry),
+            reported: ToldCapacity::new(entry),
             unusable: false,
         }
     }
@@ -36,65 +36,65 @@
 
 /// What news of a target's capacity changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CapacityNews {
+pub(super) enum CapacityChange {
     /// Nothing.
-    Same,
+    Unchanged,
     /// Another capacity is in force.
     Changed,
     /// The listings tell one that can't be read, from now on.
-    Unusable,
+    BecameUnusable,
 }
 
 impl Target {
     /// Takes in what the platform's list says of it.
-    pub(super) fn take_entry(&mut self, now: Millis, entry: TargetEntry) -> CapacityNews {
-        if self.capacity.told.entry_told(now, entry.capacity) {
+    pub(super) fn update_entry(&mut self, now: Millis, entry: TargetEntry) -> CapacityChange {
+        if self.capacity.reported.entry_told(now, entry.capacity) {
             self.lease.next_renewal = now;
         }
         let before = std::mem::replace(&mut self.entry, entry).capacity;
-        self.put_in_force(before)
+        self.apply_capacity(before)
     }
 
     /// Takes in the capacity that a listing tells which was asked for at `asked`.
-    pub(super) fn take_listed_capacity(
+    pub(super) fn update_listed_capacity(
         &mut self,
-        asked: Millis,
+        requested: Millis,
         capacity: Option<Result<Resources, EntryFault>>,
-    ) -> CapacityNews {
+    ) -> CapacityChange {
         let unusable = matches!(capacity, Some(Err(_)));
         let was_unusable = std::mem::replace(&mut self.capacity.unusable, unusable);
         let usable = capacity.and_then(Result::ok);
-        self.capacity.told.listing_told(asked, usable);
-        let news = self.put_in_force(self.entry.capacity);
+        self.capacity.reported.listing_told(requested, usable);
+        let change = self.apply_capacity(self.entry.capacity);
         if unusable && !was_unusable {
-            return CapacityNews::Unusable;
+            return CapacityChange::BecameUnusable;
         }
-        news
+        change
     }
 
     /// Forgets what listings told.
-    pub(super) fn forget_listed_capacity(&mut self) {
-        self.capacity.told.forget_listings();
+    pub(super) fn clear_listed_capacity(&mut self) {
+        self.capacity.reported.forget_listings();
         self.capacity.unusable = false;
-        self.put_in_force(self.entry.capacity);
+        self.apply_capacity(self.entry.capacity);
     }
 
-    fn put_in_force(&mut self, before: Resources) -> CapacityNews {
-        self.entry.capacity = self.capacity.told.in_force();
+    fn apply_capacity(&mut self, before: Resources) -> CapacityChange {
+        self.entry.capacity = self.capacity.reported.in_force();
         if self.entry.capacity == before {
-            CapacityNews::Same
+            CapacityChange::Unchanged
         } else {
-            CapacityNews::Changed
+            CapacityChange::Changed
         }
     }
 
     /// Returns whether an order could run here, now or once there are the resources.
     pub(super) fn could_run(&self, order: &TaskOrder) -> bool {
-        target_choice::could_run(&self.entry, &self.capacity.told.most(), order)
+        target_choice::could_run(&self.entry, &self.capacity.reported.most(), order)
     }
 
     /// Returns what attempts take, those that are being stopped among them.
-    fn used(&self) -> Resources {
+    fn used_resources(&self) -> Resources {
         let attempts = self.attempts.values();
         attempts.fold(Resources::default(), |used, attempt| {
             used.plus(&attempt.resources)
@@ -104,19 +104,21 @@
 
 impl TargetLeases {
     /// Records what news of a target's capacity changed, if this host looks after it.
-    pub(super) fn record_capacity(&mut self, id: &Name, news: CapacityNews, by: BeliefSource) {
+    pub(super) fn record_capacity(&mut self, id: &Name, change: CapacityChange, by: BeliefSource) {
         if !self.leased.contains(id) {
             return;
         }
-        match news {
-            CapacityNews::Same => {}
-            CapacityNews::Unusable => self.record_target(id, TargetBelief::CapacityUnusable, by),
-            CapacityNews::Changed => {
+        match change {
+            CapacityChange::Unchanged => {}
+            CapacityChange::BecameUnusable => {
+                self.record_target(id, TargetBelief::CapacityUnusable, by)
+            }
+            CapacityChange::Changed => {
                 let target = &self.targets[id];
                 self.actions.push(Action::Record(Decision::TargetCapacity {
                     target: id.clone(),
                     capacity: target.entry.capacity,
-                    used: target.used(),
+                    used: target.used_resources(),
                     by,
                 }));
             }
--- a/crates/dispatcher-core/src/targets/claims.rs
+++ b/crates/dispatcher-core/src/targets/claims.rs
@@ -22,9 +22,9 @@
     own_name: Name,
     assigned: BTreeSet<Name>,
     /// The hosts among which they were shared.
-    among: Vec<HostInfo>,
+    hosts: Vec<HostInfo>,
     /// Whether targets have come since.
-    stale: bool,
+    is_stale: bool,
     /// Targets that this host has and another should have, and since when.
     misassigned: HashMap<Name, Millis>,
 }
@@ -34,19 +34,19 @@
         Self {
             own_name,
             assigned: BTreeSet::new(),
-            among: Vec::new(),
-            stale: true,
+            hosts: Vec::new(),
+            is_stale: true,
             misassigned: HashMap::new(),
         }
     }
 
     /// Records that there are other targets.
     pub(super) fn targets_changed(&mut self) {
-        self.stale = true;
+        self.is_stale = true;
     }
 
     /// Records that a target is gone, or no longer this host's.
-    pub(super) fn forget(&mut self, target: &Name) {
+    pub(super) fn remove(&mut self, target: &Name) {
         self.misassigned.remove(target);
     }
 
@@ -75,16 +75,16 @@
     ) {
         self.update_assignment(hosts);
         let mut acquire = Vec::new();
-        let mut give_up = Vec::new();
+        let mut release = Vec::new();
         for id in &self.assignment.assigned {
             self.assignment.misassigned.remove(id);
             let Some(target) = self.targets.get(id) else {
                 continue;
             };
             let may_acquire = may_acquire && target.lease.backoff_until <= now;
-            let free = target.lease.is_free() && target.is_idle();
+            let is_free = target.lease.is_free() && target.is_idle();
             let usable = !target.entry_unusable && self.is_pool_named(&target.entry.pool);
-            if free && usable && may_acquire && !claimed(id) {
+            if is_free && usable && may_acquire && !claimed(id) {
                 acquire.push(id.clone());
             }
         }
@@ -94,21 +94,21 @@
             }
             self.assignment.misassigned.entry(id.clone()).or_insert(now);
             if self.targets[id].is_idle() {
-                give_up.push(id.clone());
+                release.push(id.clone());
             }
         }
         for id in acquire {
             self.acquire(now, &id);
         }
-        for id in give_up {
-            self.give_up(&id);
+        for id in release {
+            self.release(&id);
         }
     }
 
     /// Finds the targets that are assigned to this host, if hosts or targets
     /// changed.
     fn update_assignment(&mut self, hosts: &[HostInfo]) {
-        if !self.assignment.stale && self.assignment.among == hosts {
+        if !self.assignment.is_stale && self.assignment.hosts == hosts {
             return;
         }
         let own_name = &self.assignment.own_name;
@@ -119,8 +119,8 @@
             candidates.may_hold(own_name, hall) && candidates.holds(own_name, id, hall)
         });
         self.assignment.assigned = own.map(|(id, _)| id.clone()).collect();
-        self.assignment.among = hosts.to_vec();
-        self.assignment.stale = false;
+        self.assignment.hosts = hosts.to_vec();
+        self.assignment.is_stale = false;
     }
 
     /// Takes note of the pools that the configuration names.
@@ -146,12 +146,12 @@
         }
     }
 
-    fn give_up(&mut self, id: &Name) {
-        self.assignment.forget(id);
+    fn release(&mut self, id: &Name) {
+        self.assignment.remove(id);
         self.leased.remove(id);
         if let Some(target) = self.targets.get_mut(id) {
-            target.lease.give_up();
-            target.forget();
+            target.lease.release();
+            target.reset();
             let source = BeliefSource::AssignedElsewhere;
             self.record_target(id, TargetBelief::LeftToOthers, source);
         }
@@ -181,9 +181,9 @@
             Response::BackOff => {
                 let target = self.targets.get_mut(id).expect("just found");
                 target.lease.lose(now);
-                target.forget();
+                target.reset();
                 self.leased.remove(id);
-                self.assignment.forget(id);
+                self.assignment.remove(id);
                 self.record_target(id, TargetBelief::LeftToOthers, BeliefSource::StaleToken);
             }
         }
@@ -197,14 +197,14 @@
     }
 
     /// Records that the target's process is another one by now.
-    pub(super) fn incarnation_over(&mut self, now: Millis, id: &Name) {
+    pub(super) fn handle_wrong_incarnation(&mut self, now: Millis, id: &Name) {
         let known = self.targets.get(id);
         let gone_by = known.and_then(|target| self.gone_by(now, target));
         if let Some(target) = self.targets.get_mut(id) {
             let (loss, by) = (TargetLoss::ProcessGone, EndEvidence::WrongIncarnation);
-            let reports = target.end_all(now, loss, gone_by, by);
-            target.lease.give_up();
-            target.forget();
+            let reports = target.end_all_attempts(now, loss, gone_by, by);
+            target.lease.release();
+            target.reset();
             target.lease.backoff_until = now + contention::BACKOFF_MS;
             target.unlisted_since.get_or_insert(now);
             self.unlisted.insert(id.clone());
--- a/crates/dispatcher-core/src/targets/ends.rs
+++ b/crates/dispatcher-core/src/targets/ends.rs
@@ -17,7 +17,7 @@
 /// A target's listing, as it was asked for.
 pub(super) struct Listing<'a> {
     /// When it was asked for.
-    pub(super) asked: Millis,
+    pub(super) requested: Millis,
     /// The target's clock.
     pub(super) clock: Millis,
     /// What runs there.
@@ -31,7 +31,7 @@
     ///
     /// With `settles` a new holder waits until attempts that it doesn't know are
     /// over.
-    pub(super) fn take_listing(
+    pub(super) fn apply_listing(
         &mut self,
         now: Millis,
         listing: &Listing<'_>,
@@ -40,56 +40,56 @@
         let mut reports = Vec::new();
         for end in listing.ended {
             self.lease.acknowledged = self.lease.acknowledged.max(end.number);
-            reports.extend(self.take_end(now, end));
+            reports.extend(self.apply_listed_end(now, end));
         }
         for listed in listing.running {
             self.confirm(now, &listed.id);
-            self.repeat_stop(&listed.id, listing.asked);
+            self.repeat_lost_stop(&listed.id, listing.requested);
             self.observe_progress(now, listed, listing.clock);
         }
         let is_listed = |id: &AttemptId| listing.running.iter().any(|listed| listed.id == *id);
-        let over = self
+        let finished = self
             .attempts
             .iter()
-            .filter(|(id, attempt)| attempt.would_be_listed(listing.asked) && !is_listed(id));
-        let over: Vec<AttemptId> = over.map(|(id, _)| id.clone()).collect();
-        for id in over {
+            .filter(|(id, attempt)| attempt.would_be_listed(listing.requested) && !is_listed(id));
+        let finished: Vec<AttemptId> = finished.map(|(id, _)| id.clone()).collect();
+        for id in finished {
             let lost = AttemptOutcome::Lost;
-            let outcome = self.lost_life.remove(&id).unwrap_or(lost);
-            reports.extend(self.end(now, &id, outcome, EndEvidence::NotListed));
+            let outcome = self.restart_outcomes.remove(&id).unwrap_or(lost);
+            reports.extend(self.end_attempt(now, &id, outcome, EndEvidence::NotListed));
         }
-        self.lost_life
+        self.restart_outcomes
             .retain(|id, _| self.attempts.contains_key(id) && !is_listed(id));
         let mut running = listing.running.iter();
         let own_only = running.all(|listed| self.attempts.contains_key(&listed.id));
-        self.lease.confirmed(now, own_only || !settles);
+        self.lease.confirm_token(now, own_only || !settles);
         reports
     }
 
-    fn take_end(&mut self, now: Millis, end: &ListedEnd) -> Option<EndReport> {
+    fn apply_listed_end(&mut self, now: Millis, end: &ListedEnd) -> Option<EndReport> {
         let attempt = self.attempts.get(&end.id)?;
         let took_ms = now.saturating_sub(attempt.started);
         let outcome = match end.outcome {
             ListedOutcome::Done => {
                 self.health.succeeded();
-                if self.learned.is_none() {
+                if self.learned_speed.is_none() {
                     self.health.took(took_ms, attempt.estimate_ms);
                 }
                 AttemptOutcome::Done
             }
             ListedOutcome::Failed => {
-                if self.learned.is_none() {
+                if self.learned_speed.is_none() {
                     self.health.failed(now);
                 }
                 AttemptOutcome::Failed
             }
             ListedOutcome::Ended | ListedOutcome::Unknown => AttemptOutcome::Lost,
         };
-        self.end(now, &end.id, outcome, EndEvidence::Listed)
+        self.end_attempt(now, &end.id, outcome, EndEvidence::Listed)
     }
 
     /// Ends an attempt.
-    pub(super) fn end(
+    pub(super) fn end_attempt(
         &mut self,
         now: Millis,
         id: &AttemptId,
@@ -111,12 +111,12 @@
                 estimate_ms: attempt.estimate_ms,
                 is_far: attempt.is_far,
             },
-            report_wanted: attempt.report,
+            report_wanted: attempt.report_end,
         })
     }
 
     /// Ends all attempts, since the target was lost; see [`Target::lost_outcomes`].
-    pub(super) fn end_all(
+    pub(super) fn end_all_attempts(
         &mut self,
         now: Millis,
         loss: TargetLoss,
@@ -125,7 +125,7 @@
     ) -> Vec<EndReport> {
         let outcomes = self.lost_outcomes(loss, gone_by).into_iter();
         outcomes
-            .filter_map(|(id, outcome)| self.end(now, &id, outcome, by))
+            .filter_map(|(id, outcome)| self.end_attempt(now, &id, outcome, by))
             .collect()
     }
 
@@ -137,12 +137,13 @@
         gone_by: Option<Millis>,
     ) -> BTreeMap<AttemptId, AttemptOutcome> {
         let attempts = self.attempts.values();
-        let running = attempts.filter(|attempt| attempt.ran(gone_by) != Ran::No);
+        let running = attempts.filter(|attempt| attempt.running_when_lost(gone_by) != Ran::No);
         let running = running.count();
         let others = running.saturating_sub(1);
         let leaving = self.entry.leaving;
         let outcomes = self.attempts.iter().map(|(id, attempt)| {
-            let outcome = crashes::outcome(loss, leaving, attempt.ran(gone_by), others);
+            let outcome =
+                crashes::outcome(loss, leaving, attempt.running_when_lost(gone_by), others);
             (id.clone(), outcome)
         });
         outcomes.collect()
--- a/crates/dispatcher-core/src/targets/room.rs
+++ b/crates/dispatcher-core/src/targets/free_capacity.rs
@@ -18,7 +18,7 @@
 
 /// The most targets with room that a message tells of, the freest: a peer hands over what fits,
 /// and hears again with the reply.
-const MOST_ROOM_TOLD: usize = 8;
+const MAX_TARGETS_PER_MESSAGE: usize = 8;
 
 /// What this host's usable targets of one pool have.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,38 +54,38 @@
     #[must_use]
     pub fn free_by_target(&self, now: Millis) -> Vec<TargetRoom> {
         let usable = self.usable_targets(now);
-        let room = usable.map(|target| TargetRoom {
+        let targets = usable.map(|target| TargetRoom {
             target: target.entry.id.clone(),
             free: target.free(),
         });
-        let mut room: Vec<TargetRoom> = room.filter(|room| room.free.cpu > 0).collect();
-        room.sort_by_key(|room| Reverse(room.free.cpu));
-        room.truncate(MOST_ROOM_TOLD);
-        room
+        let mut targets: Vec<TargetRoom> = targets.filter(|entry| entry.free.cpu > 0).collect();
+        targets.sort_by_key(|entry| Reverse(entry.free.cpu));
+        targets.truncate(MAX_TARGETS_PER_MESSAGE);
+        targets
     }
 
     /// Returns what the usable targets have, by pool.
     #[must_use]
     pub fn pool_capacities(&self, now: Millis) -> Vec<PoolCapacity> {
-        let mut rooms: Vec<PoolCapacity> = Vec::new();
-        let ordinary_cpu = self.ordinary_cpu(now);
+        let mut pools: Vec<PoolCapacity> = Vec::new();
+        let mean_attempt_cpu = self.mean_attempt_cpu(now);
         for target in self.usable_targets(now) {
-            let known = rooms.iter_mut().find(|room| room.pool == target.entry.pool);
-            let room = match known {
-                Some(room) => room,
+            let known = pools.iter_mut().find(|pool| pool.pool == target.entry.pool);
+            let pool = match known {
+                Some(pool) => pool,
                 None => {
-                    rooms.push(PoolCapacity::empty(&target.entry.pool));
-                    rooms.last_mut().expect("just added")
+                    pools.push(PoolCapacity::empty(&target.entry.pool));
+                    pools.last_mut().expect("just added")
                 }
             };
-            room.add(now, target, ordinary_cpu);
+            pool.add(now, target, mean_attempt_cpu);
         }
-        rooms
+        pools
     }
 
     /// Returns the thousandths of a core of an ordinary attempt on the usable targets, 0 if none
     /// runs.
-    fn ordinary_cpu(&self, now: Millis) -> u32 {
+    fn mean_attempt_cpu(&self, now: Millis) -> u32 {
         let usable = self.usable_targets(now);
         let attempts = usable.flat_map(|target| target.attempts.values());
         let (sum, count) = attempts.fold((0, 0), |(sum, count), attempt| {
@@ -129,20 +129,20 @@
         }
     }
 
-    fn add(&mut self, now: Millis, target: &Target, ordinary_cpu: u32) {
+    fn add(&mut self, now: Millis, target: &Target, mean_attempt_cpu: u32) {
         let free = target.free().cpu;
         let soon_cpu = free + target.expected_to_free(now, HANDED_MS);
         self.capacity_cpu += target.entry.capacity.cpu;
         self.used_cpu += target.entry.capacity.cpu.saturating_sub(free);
-        self.soon_free_cpu += whole_tasks_cpu(soon_cpu, ordinary_cpu);
+        self.soon_free_cpu += whole_tasks_cpu(soon_cpu, mean_attempt_cpu);
     }
 }
 
 /// Returns how much of a target's room whole ordinary tasks take: what is left beside them on
 /// each target starts nothing, however much it is on all together.
-fn whole_tasks_cpu(room_cpu: u32, ordinary_cpu: u32) -> u32 {
-    match room_cpu.checked_div(ordinary_cpu) {
-        Some(tasks) => tasks * ordinary_cpu,
-        None => room_cpu,
+fn whole_tasks_cpu(free_cpu: u32, mean_attempt_cpu: u32) -> u32 {
+    match free_cpu.checked_div(mean_attempt_cpu) {
+        Some(tasks) => tasks * mean_attempt_cpu,
+        None => free_cpu,
     }
 }
--- a/crates/dispatcher-core/src/targets/lives.rs
+++ b/crates/dispatcher-core/src/targets/incarnations.rs
@@ -26,10 +26,10 @@
     /// and be another host's by now. What was on its way says nothing of them.
     pub fn mark_incarnations_unconfirmed(&mut self) {
         for sent in self.calls.values_mut() {
-            sent.before_pause = true;
+            sent.sent_before_suspension = true;
         }
         self.for_each_active(|target| {
-            target.doubt_life();
+            target.mark_incarnation_unconfirmed();
             target.lease.renewal = None;
             target.lease.next_renewal = 0;
         });
@@ -38,22 +38,22 @@
     /// Returns when a target that is lost was known to be gone, at the latest now; none if ends
     /// that weren't heard aren't reckoned with.
     pub(super) fn gone_by(&self, now: Millis, target: &Target) -> Option<Millis> {
-        let reckoned = self.safeguards.unheard_ends_are_reckoned;
-        reckoned.then(|| target.refuses_since.unwrap_or(now))
+        let counted = self.safeguards.unheard_ends_are_reckoned;
+        counted.then(|| target.refuses_since.unwrap_or(now))
     }
 
     /// Drops what is known of a target's last life where a reply is of another one.
-    pub(super) fn look_at_life(&mut self, now: Millis, sent: &Sent, reply: &TargetReply) {
+    pub(super) fn detect_restart(&mut self, now: Millis, sent: &Sent, reply: &TargetReply) {
         let Some(target) = self.targets.get_mut(&sent.target) else {
             return;
         };
-        let present = sent.token == target.lease.token && !target.lease.is_free();
-        if !present || sent.before_pause || !self.safeguards.lives_are_told_apart {
+        let is_current = sent.token == target.lease.token && !target.lease.is_free();
+        if !is_current || sent.sent_before_suspension || !self.safeguards.lives_are_told_apart {
             return;
         }
-        if !target.is_other_life(sent.clock, reply) {
-            if let Some(born) = born(reply) {
-                target.born = Some(born);
+        if !target.is_other_incarnation(sent.clock, reply) {
+            if let Some(incarnation_start) = incarnation_start(reply) {
+                target.incarnation_start = Some(incarnation_start);
             }
             return;
         }
@@ -62,11 +62,12 @@
             return;
         };
         let token = self.tokens.next(now);
-        let asked = listing_asked_at(sent);
+        let requested = listing_requested_at(sent);
         self.reports.extend(target.end_unsent(now));
         let lost = target.lost_outcomes(TargetLoss::Restarted, gone_by);
-        let over = self.times.longest_attempts_over;
-        let reports = target.begin_life(now, token, over, asked, lost, reply);
+        let longest_attempts_over = self.times.longest_attempts_over;
+        let reports =
+            target.start_incarnation(now, token, longest_attempts_over, requested, lost, reply);
         self.reports.extend(reports);
         let by = BeliefSource::WrongIncarnation;
         self.record_target(&sent.target, TargetBelief::Restarted, by);
@@ -77,14 +78,15 @@
 impl Target {
     /// Returns whether a reply is of another life than the one that is known. `clock` is the
     /// target's clock as heard before the call: within one life it never goes back.
-    fn is_other_life(&self, clock: Option<Millis>, reply: &TargetReply) -> bool {
-        self.tells_other_life(reply) || heeded_clock(reply).is_some_and(|now| Some(now) < clock)
+    fn is_other_incarnation(&self, clock: Option<Millis>, reply: &TargetReply) -> bool {
+        self.reports_other_incarnation(reply)
+            || accepted_call_clock(reply).is_some_and(|now| Some(now) < clock)
     }
 
     /// Returns whether a reply tells that it is of another life.
-    fn tells_other_life(&self, reply: &TargetReply) -> bool {
-        let (known, told) = (self.born, born(reply));
-        told.is_some() && known.is_some() && told != known
+    fn reports_other_incarnation(&self, reply: &TargetReply) -> bool {
+        let (known, reported) = (self.incarnation_start, incarnation_start(reply));
+        reported.is_some() && known.is_some() && reported != known
     }
 
     /// Begins to acquire the lease of a new life; returns the attempts that ended with the old
@@ -95,40 +97,41 @@
     ///
     /// A clock that went back ends no attempt by itself, so that nothing rests on the clocks
     /// of targets alone: the next listing shows what runs.
-    fn begin_life(
+    fn start_incarnation(
         &mut self,
         now: Millis,
         token: u64,
         longest_attempts_over: Millis,
-        asked: Option<Millis>,
-        lost: BTreeMap<AttemptId, AttemptOutcome>,
+        requested: Option<Millis>,
+        outcomes: BTreeMap<AttemptId, AttemptOutcome>,
         reply: &TargetReply,
     ) -> Vec<EndReport> {
-        let told = asked.filter(|_| self.tells_other_life(reply));
-        self.forget();
-        self.forget_speed();
-        self.born = born(reply);
-        self.lease.begin_life(now, token);
+        let requested = requested.filter(|_| self.reports_other_incarnation(reply));
+        self.reset();
+        self.reset_speed();
+        self.incarnation_start = incarnation_start(reply);
+        self.lease.reacquire_after_restart(now, token);
         // What a life before that had is known better from then.
-        let before = std::mem::take(&mut self.lost_life);
-        self.lost_life = lost;
-        self.lost_life.extend(before);
+        let before = std::mem::take(&mut self.restart_outcomes);
+        self.restart_outcomes = outcomes;
+        self.restart_outcomes.extend(before);
         let attempts = self.attempts.iter();
-        let over = attempts.filter(|(id, attempt)| {
+        let ended = attempts.filter(|(id, attempt)| {
             let known = attempt.confirmed;
-            let of_old_life = told.is_some_and(|asked| known.is_some_and(|at| at < asked));
-            of_old_life && !runs(reply, id)
+            let of_previous_incarnation =
+                requested.is_some_and(|requested| known.is_some_and(|at| at < requested));
+            of_previous_incarnation && !lists_as_running(reply, id)
         });
-        let over: Vec<AttemptId> = over.map(|(id, _)| id.clone()).collect();
+        let ended: Vec<AttemptId> = ended.map(|(id, _)| id.clone()).collect();
         for attempt in self.attempts.values_mut() {
             attempt.request_stop(true);
         }
         let by = EndEvidence::WrongIncarnation;
         let mut reports = Vec::new();
-        for id in over {
+        for id in ended {
             let lost = AttemptOutcome::Lost;
-            let outcome = self.lost_life.remove(&id).unwrap_or(lost);
-            reports.extend(self.end(now, &id, outcome, by));
+            let outcome = self.restart_outcomes.remove(&id).unwrap_or(lost);
+            reports.extend(self.end_attempt(now, &id, outcome, by));
         }
         // An order with a time of the old clock may have come to the new life: what runs there
         // from now on may then run for as long as it grants at all.
@@ -139,7 +142,7 @@
 
 /// Returns the clock that a reply tells of a target that took the call in. A target that has
 /// seen a higher token is another host's by now, whatever its clock shows.
-pub(super) fn heeded_clock(reply: &TargetReply) -> Option<Millis> {
+pub(super) fn accepted_call_clock(reply: &TargetReply) -> Option<Millis> {
     match reply {
         TargetReply::Accepted { clock }
         | TargetReply::Listing { clock, .. }
@@ -153,15 +156,15 @@
 }
 
 /// Returns when a listing was asked for, if the call did.
-fn listing_asked_at(sent: &Sent) -> Option<Millis> {
+fn listing_requested_at(sent: &Sent) -> Option<Millis> {
     match sent.purpose {
-        Purpose::Renewal { asked } => Some(asked),
+        Purpose::Renewal { requested } => Some(requested),
         Purpose::Start(_) | Purpose::Stop(_) => None,
     }
 }
 
 /// Returns when the life began that sent a reply, if it tells.
-fn born(reply: &TargetReply) -> Option<Born> {
+fn incarnation_start(reply: &TargetReply) -> Option<Born> {
     match reply {
         TargetReply::Listing { born, .. } => *born,
         _ => None,
@@ -169,7 +172,7 @@
 }
 
 /// Returns whether a reply lists an attempt as running.
-fn runs(reply: &TargetReply, id: &AttemptId) -> bool {
+fn lists_as_running(reply: &TargetReply, id: &AttemptId) -> bool {
     match reply {
         TargetReply::Listing { running, .. } => running.iter().any(|listed| listed.id == *id),
         _ => false,
--- a/crates/dispatcher-core/src/targets/learned.rs
+++ b/crates/dispatcher-core/src/targets/learned_times.rs
@@ -27,18 +27,18 @@
 use super::TargetLeases;
 
 /// Between forecasts of all attempts, in ms: about as often as targets list their progress.
-const FORECAST_MS: Millis = 50;
+const FORECAST_INTERVAL_MS: Millis = 50;
 /// The most kinds of tasks whose times are kept: bounds memory against callers whose
 /// estimates and resources never repeat.
-const MOST_KINDS: usize = 256;
+const MAX_KINDS: usize = 256;
 /// A kind without ends for so long is dropped, in ms.
-const KIND_FORGOTTEN_MS: Millis = 300_000;
+const KIND_RETENTION_MS: Millis = 300_000;
 /// Between log lines of a kind's times, in ms.
-const KIND_TOLD_MS: Millis = 10_000;
+const KIND_LOG_INTERVAL_MS: Millis = 10_000;
 /// A target's speed is logged when it has changed by this factor.
-const TOLD_CHANGE: f64 = 1.4;
+const LOGGED_CHANGE_FACTOR: f64 = 1.4;
 /// A slowdown that is more likely right than not is logged, and acted on.
-const SURE: f64 = 0.5;
+const MIN_CERTAINTY: f64 = 0.5;
 
 /// What is known of a kind of task.
 #[derive(Debug)]
@@ -52,13 +52,13 @@
 pub(super) struct LearnedTimes {
     kinds: HashMap<TaskKind, KnownKind>,
     /// What stands in for a kind that had no end yet.
-    unknown: RunningTimes,
+    default_times: RunningTimes,
     /// What is common to all targets' slowdowns.
-    common: f64,
+    common_slowdown: f64,
     /// How many times as long tasks take in racks without their data.
     far_slowdown: f64,
     next_forecast: Millis,
-    next_told: Millis,
+    next_log: Millis,
 }
 
 /// How slow a target is.
@@ -70,7 +70,7 @@
     /// When an attempt last ended well there.
     last_done: Millis,
     /// The slowdown that was logged last.
-    told: f64,
+    logged_factor: f64,
 }
 
 impl LearnedSpeed {
@@ -80,37 +80,37 @@
             speed,
             slowdown,
             last_done: 0,
-            told: 1.0,
+            logged_factor: 1.0,
         }
     }
 
     /// Returns whether it is so surely slow that it gets one task at a time.
     pub(super) fn is_very_slow(&self) -> bool {
-        self.slowdown.factor >= ONE_TASK_SLOWDOWN && self.slowdown.certainty >= SURE
+        self.slowdown.factor >= ONE_TASK_SLOWDOWN && self.slowdown.certainty >= MIN_CERTAINTY
     }
 }
 
 impl LearnedTimes {
     /// Returns what is known at the start, where the deployment asks for it.
-    pub(super) fn wanted(settings: &Settings) -> Option<Self> {
-        let wanted = settings.scheduling.running_times == RunningTimesFrom::Learned;
-        wanted.then(|| Self {
+    pub(super) fn from_settings(settings: &Settings) -> Option<Self> {
+        let is_learned = settings.scheduling.running_times == RunningTimesFrom::Learned;
+        is_learned.then(|| Self {
             kinds: HashMap::new(),
-            unknown: RunningTimes::new(0),
-            common: 1.0,
+            default_times: RunningTimes::new(0),
+            common_slowdown: 1.0,
             far_slowdown: settings.far_slowdown,
             next_forecast: 0,
-            next_told: 0,
+            next_log: 0,
         })
     }
 
     fn times(&self, kind: &TaskKind) -> &RunningTimes {
         let known = self.kinds.get(kind);
-        known.map_or(&self.unknown, |known| &known.times)
+        known.map_or(&self.default_times, |known| &known.times)
     }
 
     fn kind_mut(&mut self, now: Millis, kind: &TaskKind) -> Option<&mut KnownKind> {
-        if self.kinds.len() >= MOST_KINDS && !self.kinds.contains_key(kind) {
+        if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(kind) {
             return None;
         }
         let known = self.kinds.entry(kind.clone());
@@ -128,13 +128,13 @@
 
     /// Takes an end of an attempt in that is done. The kind learns what is left once the target's
     /// slowdown is taken out, the target what its task's kind doesn't explain.
-    fn done(&mut self, now: Millis, learned: &mut LearnedSpeed, report: &EndReport) {
+    fn record_done(&mut self, now: Millis, learned: &mut LearnedSpeed, report: &EndReport) {
         let task = &report.task;
         let ratio = report.took_ms as f64 / self.scale_ms(task.estimate_ms, task.is_far);
         let before = learned.speed.slowdown(now, std::iter::empty());
         learned.speed.ended(now, self.times(&task.kind), ratio);
         learned.last_done = now;
-        let beside_others = before.factor / self.common;
+        let beside_others = before.factor / self.common_slowdown;
         if let Some(kind) = self.kind_mut(now, &task.kind) {
             kind.times.ended(now, ratio / beside_others);
             kind.ends.record(now, &report.end.target, false);
@@ -142,7 +142,7 @@
     }
 
     /// Takes a failed attempt in; returns whether it speaks against its target.
-    fn failed(&mut self, now: Millis, report: &EndReport) -> bool {
+    fn record_failure(&mut self, now: Millis, report: &EndReport) -> bool {
         let target = &report.end.target;
         let kind = self.kind_mut(now, &report.task.kind);
         kind.is_none_or(|kind| {
@@ -152,7 +152,7 @@
     }
 
     /// Takes in that an attempt is stopped since it took too long.
-    pub(super) fn outlived(&mut self, now: Millis, attempt: &Attempt, slowdown: f64) {
+    pub(super) fn record_outlived(&mut self, now: Millis, attempt: &Attempt, slowdown: f64) {
         let run_ms = now.saturating_sub(attempt.started) as f64;
         let scale_ms = self.scale_ms(attempt.estimate_ms, attempt.is_far);
         if let Some(kind) = self.kind_mut(now, &attempt.kind) {
@@ -161,7 +161,7 @@
     }
 
     /// Returns what an attempt that still runs shows of its target, if anything.
-    fn shown(&self, now: Millis, attempt: &Attempt) -> Option<Running<'_>> {
+    fn running_evidence(&self, now: Millis, attempt: &Attempt) -> Option<Running<'_>> {
         attempt.confirmed?;
         let times = self.times(&attempt.kind);
         let scale_ms = self.scale_ms(attempt.estimate_ms, attempt.is_far);
@@ -184,7 +184,7 @@
         now: Millis,
         attempt: &Attempt,
         slowdown: f64,
-        shown_by_ends: f64,
+        slowdown_by_ends: f64,
     ) -> Forecast {
         let times = self.times(&attempt.kind);
         let ordinary_ms = self.scale_ms(attempt.estimate_ms, attempt.is_far);
@@ -196,32 +196,34 @@
             None => times.left(run_ms / scale_ms) * scale_ms,
         };
         Forecast {
-            longest_ms: times.longest() * ordinary_ms * shown_by_ends,
+            longest_ms: times.longest() * ordinary_ms * slowdown_by_ends,
             end: now + left_ms as Millis,
-            overrun_after_ms: times.overrun_after_ms(ordinary_ms * shown_by_ends),
+            overrun_after_ms: times.overrun_after_ms(ordinary_ms * slowdown_by_ends),
         }
     }
 
     /// Returns what is to be logged of the kinds' times, if that is due.
-    fn take_told(&mut self, now: Millis) -> Vec<Decision> {
-        if now < self.next_told {
+    fn due_log_records(&mut self, now: Millis) -> Vec<Decision> {
+        if now < self.next_log {
             return Vec::new();
         }
-        self.next_told = now + KIND_TOLD_MS;
-        self.forget_kinds(now);
+        self.next_log = now + KIND_LOG_INTERVAL_MS;
+        self.remove_old_kinds(now);
         let recent = self.kinds.iter();
-        let recent = recent.filter(|(_, known)| known.times.last_end() + KIND_TOLD_MS > now);
-        let mut told: Vec<_> = recent.collect();
-        told.sort_by_key(|(kind, _)| *kind);
-        told.into_iter()
+        let recent =
+            recent.filter(|(_, known)| known.times.last_end() + KIND_LOG_INTERVAL_MS > now);
+        let mut recent: Vec<_> = recent.collect();
+        recent.sort_by_key(|(kind, _)| *kind);
+        recent
+            .into_iter()
             .map(|(kind, known)| task_times(kind, &known.times))
             .collect()
     }
 
     /// Forgets kinds that had no end for long.
-    fn forget_kinds(&mut self, now: Millis) {
+    fn remove_old_kinds(&mut self, now: Millis) {
         self.kinds
-            .retain(|_, known| known.times.last_end() + KIND_FORGOTTEN_MS > now);
+            .retain(|_, known| known.times.last_end() + KIND_RETENTION_MS > now);
     }
 }
 
@@ -238,8 +240,8 @@
 
 impl Target {
     /// Forgets how slow it was: another life began.
-    pub(super) fn forget_speed(&mut self) {
-        if let Some(learned) = &mut self.learned {
+    pub(super) fn reset_speed(&mut self) {
+        if let Some(learned) = &mut self.learned_speed {
             *learned = LearnedSpeed::new(TargetSpeed::default());
         }
     }
@@ -249,7 +251,7 @@
     /// well there in the second half of its time: the target isn't hung.
     pub(super) fn is_suspect_for(&self, now: Millis, id: &AttemptId) -> bool {
         let attempt = self.attempts.get(id);
-        let (Some(learned), Some(attempt)) = (&self.learned, attempt) else {
+        let (Some(learned), Some(attempt)) = (&self.learned_speed, attempt) else {
             return true;
         };
         let run_ms = now.saturating_sub(attempt.started);
@@ -258,31 +260,31 @@
 
     /// Reckons anew how slow it is, and when its attempts end.
     fn forecast(&mut self, now: Millis, times: &LearnedTimes) {
-        let Some(learned) = &mut self.learned else {
+        let Some(learned) = &mut self.learned_speed else {
             return;
         };
         let attempts = self.attempts.values();
-        let shown = attempts.filter_map(|attempt| times.shown(now, attempt));
-        let slowdown = learned.speed.slowdown(now, shown);
-        let factor = slowdown.factor / times.common;
+        let running = attempts.filter_map(|attempt| times.running_evidence(now, attempt));
+        let slowdown = learned.speed.slowdown(now, running);
+        let factor = slowdown.factor / times.common_slowdown;
         learned.slowdown = Slowdown { factor, ..slowdown };
         let by_ends = learned.speed.slowdown(now, std::iter::empty());
-        let by_ends = by_ends.factor / times.common;
+        let by_ends = by_ends.factor / times.common_slowdown;
         for attempt in self.attempts.values_mut() {
             attempt.forecast = Some(times.forecast(now, attempt, factor, by_ends));
         }
     }
 
     /// Returns how slow it is, if that has changed since it was logged.
-    fn speed_to_tell(&mut self) -> Option<Decision> {
-        let learned = self.learned.as_mut()?;
+    fn speed_to_log(&mut self) -> Option<Decision> {
+        let learned = self.learned_speed.as_mut()?;
         let slowdown = learned.slowdown;
-        let change = (slowdown.factor / learned.told).ln().abs();
-        let tells = learned.speed.is_known() && slowdown.certainty >= SURE;
-        if !tells || change < TOLD_CHANGE.ln() {
+        let change = (slowdown.factor / learned.logged_factor).ln().abs();
+        let is_known = learned.speed.is_known() && slowdown.certainty >= MIN_CERTAINTY;
+        if !is_known || change < LOGGED_CHANGE_FACTOR.ln() {
             return None;
         }
-        learned.told = slowdown.factor;
+        learned.logged_factor = slowdown.factor;
         Some(Decision::TargetSpeed {
             target: self.entry.id.clone(),
             slowdown: slowdown.factor,
@@ -294,30 +296,33 @@
 impl TargetLeases {
     /// Returns what is believed of a new target's speed, where it is learned: what is known of
     /// those with its labels and size.
-    pub(super) fn learned_of_new(&self, entry: &TargetEntry) -> Option<LearnedSpeed> {
-        self.learned.as_ref()?;
-        let alike = self.targets.values().filter(|other| {
+    pub(super) fn initial_speed(&self, entry: &TargetEntry) -> Option<LearnedSpeed> {
+        self.learned_times.as_ref()?;
+        let similar = self.targets.values().filter(|other| {
             other.entry.labels == entry.labels && other.entry.capacity == entry.capacity
         });
-        let speeds = alike.filter_map(|other| other.learned.as_ref());
+        let speeds = similar.filter_map(|other| other.learned_speed.as_ref());
         let speeds = speeds.map(|learned| &learned.speed);
         Some(LearnedSpeed::new(TargetSpeed::like(speeds)))
     }
 
     /// Learns from the ends that a target listed.
     pub(super) fn learn_from(&mut self, now: Millis, id: &Name, reports: &[EndReport]) {
-        let (Some(times), Some(target)) = (&mut self.learned, self.targets.get_mut(id)) else {
+        let (Some(times), Some(target)) = (&mut self.learned_times, self.targets.get_mut(id))
+        else {
             return;
         };
-        let Some(learned) = &mut target.learned else {
+        let Some(learned) = &mut target.learned_speed else {
             return;
         };
         let listed = reports.iter();
         let listed = listed.filter(|report| report.by == EndEvidence::Listed);
         for report in listed {
             match report.end.outcome {
-                AttemptOutcome::Done => times.done(now, learned, report),
-                AttemptOutcome::Failed if times.failed(now, report) => target.health.failed(now),
+                AttemptOutcome::Done => times.record_done(now, learned, report),
+                AttemptOutcome::Failed if times.record_failure(now, report) => {
+                    target.health.failed(now)
+                }
                 AttemptOutcome::Failed
                 | AttemptOutcome::Lost
                 | AttemptOutcome::StaleAttempt
@@ -331,29 +336,29 @@
 
     /// Reckons anew what is expected of attempts: from time to time of all, at once of new ones.
     pub(super) fn forecast(&mut self, now: Millis) {
-        let Some(times) = &mut self.learned else {
+        let Some(times) = &mut self.learned_times else {
             return;
         };
         let all = times.next_forecast <= now;
         if all {
-            times.next_forecast = now + FORECAST_MS;
+            times.next_forecast = now + FORECAST_INTERVAL_MS;
             let known = self.leased.iter().filter_map(|id| {
-                let learned = self.targets[id].learned.as_ref()?;
+                let learned = self.targets[id].learned_speed.as_ref()?;
                 let slowdown = learned.speed.slowdown(now, std::iter::empty());
                 learned.speed.is_known().then_some(slowdown.factor)
             });
-            times.common = common(known);
+            times.common_slowdown = common(known);
         }
-        let mut told = times.take_told(now);
+        let mut records = times.due_log_records(now);
         for id in &self.active {
             let target = self.targets.get_mut(id);
             let target = target.expect("active targets are known");
             let mut attempts = target.attempts.values();
             if all || attempts.any(|attempt| attempt.forecast.is_none()) {
                 target.forecast(now, times);
-                told.extend(target.speed_to_tell());
+                records.extend(target.speed_to_log());
             }
         }
-        self.actions.extend(told.into_iter().map(Action::Record));
+        self.actions.extend(records.into_iter().map(Action::Record));
     }
 }
--- a/crates/dispatcher-core/src/targets/lease.rs
+++ b/crates/dispatcher-core/src/targets/lease.rs
@@ -70,7 +70,7 @@
     /// Ends up to this number are acknowledged with the next renewal.
     pub(super) acknowledged: u64,
     /// By then all attempts at the target are over if no renewal follows.
-    attempts_over: Millis,
+    attempts_expire_at: Millis,
 }
 
 impl Lease {
@@ -87,7 +87,7 @@
             renewal: None,
             next_renewal: 0,
             acknowledged: 0,
-            attempts_over: 0,
+            attempts_expire_at: 0,
         }
     }
 
@@ -103,7 +103,7 @@
 
     /// Begins to acquire it.
     pub(super) fn acquire(&mut self, now: Millis, token: u64) {
-        self.begin(now, token);
+        self.restart_acquisition(now, token);
         self.tokens_tried = 0;
         self.incumbent_since = None;
     }
@@ -115,14 +115,14 @@
         }
         self.incumbent_since = Some(self.held_since);
         self.tokens_tried = 0;
-        self.begin(now, token);
+        self.restart_acquisition(now, token);
     }
 
     /// Acquires it of a new life of the target under the same id.
-    pub(super) fn begin_life(&mut self, now: Millis, token: u64) {
+    pub(super) fn reacquire_after_restart(&mut self, now: Millis, token: u64) {
         self.incumbent_since = self.is_held().then_some(self.held_since);
         self.tokens_tried = 0;
-        self.begin(now, token);
+        self.restart_acquisition(now, token);
     }
 
     /// Carries a later token from here on, while the target may not know the present one.
@@ -134,10 +134,10 @@
     pub(super) fn raise_token(&mut self, now: Millis, token: u64) {
         self.incumbent_since = None;
         self.tokens_tried += 1;
-        self.begin(now, token);
+        self.restart_acquisition(now, token);
     }
 
-    fn begin(&mut self, now: Millis, token: u64) {
+    fn restart_acquisition(&mut self, now: Millis, token: u64) {
         LEASE.advance(&mut self.stage, LeaseEvent::Acquire);
         self.token = token;
         self.next_renewal = now;
@@ -149,7 +149,7 @@
     }
 
     /// Gives it up.
-    pub(super) fn give_up(&mut self) {
+    pub(super) fn release(&mut self) {
         LEASE.advance(&mut self.stage, LeaseEvent::Leave);
         self.renewal = None;
     }
@@ -158,12 +158,12 @@
     pub(super) fn lose(&mut self, now: Millis) {
         self.backoff_until = now + contention::backoff_ms(self.claims_lost);
         self.claims_lost += 1;
-        self.give_up();
+        self.release();
     }
 
     /// Records that the target has this host's token; `settled` says that it
     /// runs nothing that this host didn't start.
-    pub(super) fn confirmed(&mut self, now: Millis, settled: bool) {
+    pub(super) fn confirm_token(&mut self, now: Millis, settled: bool) {
         let was_held = self.is_held();
         let event = if settled {
             LeaseEvent::OwnOnly
@@ -191,19 +191,19 @@
     }
 
     /// Records that attempts at the target may run until then.
-    pub(super) fn extend(&mut self, attempts_over: Millis) {
-        self.attempts_over = self.attempts_over.max(attempts_over);
+    pub(super) fn extend(&mut self, attempts_expire_at: Millis) {
+        self.attempts_expire_at = self.attempts_expire_at.max(attempts_expire_at);
     }
 
     /// Returns whether all attempts at the target are over.
-    pub(super) fn attempts_are_over(&self, now: Millis) -> bool {
-        self.attempts_over < now
+    pub(super) fn have_attempts_expired(&self, now: Millis) -> bool {
+        self.attempts_expire_at < now
     }
 }
 
 /// Makes fencing tokens that grow with time and differ from host to host.
 #[derive(Debug)]
-pub(super) struct Tokens {
+pub(super) struct TokenGenerator {
     /// Wall-clock time in ms since 1970 at which this host's clock was 0.
     epoch_ms: u64,
     /// The part that tells this host's tokens from others'.
@@ -219,7 +219,7 @@
 /// measured.
 const HOST_PARTS: u64 = 1 << 13;
 
-impl Tokens {
+impl TokenGenerator {
     pub(super) fn new(epoch_ms: u64, host: &str) -> Self {
         Self {
             epoch_ms,
--- a/crates/dispatcher-core/src/targets/list.rs
+++ b/crates/dispatcher-core/src/targets/list.rs
@@ -19,35 +19,35 @@
 
 /// Entries that are missing when the store is back are gone after this, in ms: targets may write
 /// them again before.
-const BACK_AFTER_MS: Millis = 2_000;
+const SETTLE_AFTER_OUTAGE_MS: Millis = 2_000;
 
 /// Whether the store answers, as far as this host knows.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct StoreView {
+pub(super) struct StoreState {
     reachable: bool,
     /// When it last came back; 0 if it was never lost.
-    back_at: Millis,
+    reachable_since: Millis,
     /// Whether the list is settled at the host that told it, if another one did since this
     /// host last read.
-    told_settled: Option<bool>,
+    reported_settled: Option<bool>,
 }
 
-impl Default for StoreView {
+impl Default for StoreState {
     fn default() -> Self {
         Self {
             reachable: true,
-            back_at: 0,
-            told_settled: None,
+            reachable_since: 0,
+            reported_settled: None,
         }
     }
 }
 
-impl StoreView {
+impl StoreState {
     /// Returns whether a target that isn't listed is gone. With the store out, or
     /// back only now, its silence in the list says nothing.
     pub(super) fn list_is_settled(&self, now: Millis) -> bool {
-        let read_settled = self.reachable && self.back_at + BACK_AFTER_MS <= now;
-        self.told_settled.unwrap_or(read_settled)
+        let read_settled = self.reachable && self.reachable_since + SETTLE_AFTER_OUTAGE_MS <= now;
+        self.reported_settled.unwrap_or(read_settled)
     }
 }
 
@@ -55,10 +55,10 @@
     /// Records whether the store answers.
     pub fn set_store_reachable(&mut self, now: Millis, reachable: bool) {
         if reachable && !self.store.reachable {
-            self.store.back_at = now;
+            self.store.reachable_since = now;
         }
         self.store.reachable = reachable;
-        self.store.told_settled = None;
+        self.store.reported_settled = None;
     }
 
     /// Returns whether a target that isn't listed is gone.
@@ -70,7 +70,7 @@
     /// Records whether a target that isn't listed is gone, as another host told that
     /// reads the store.
     pub fn set_reported_settled(&mut self, settled: bool) {
-        self.store.told_settled = Some(settled);
+        self.store.reported_settled = Some(settled);
     }
 
     /// Returns whether the store answers.
@@ -83,9 +83,9 @@
     pub fn apply_list_changes(&mut self, now: Millis, changes: Vec<TargetChange>) {
         for change in changes {
             match change {
-                TargetChange::There(entry) => self.listed(now, entry),
-                TargetChange::Gone(id) => self.unlisted(now, &id),
-                TargetChange::Unusable(entry) => self.entry_unusable(&entry.id),
+                TargetChange::There(entry) => self.apply_entry(now, entry),
+                TargetChange::Gone(id) => self.mark_unlisted(now, &id),
+                TargetChange::Unusable(entry) => self.mark_entry_unusable(&entry.id),
             }
         }
     }
@@ -99,21 +99,21 @@
         let missing = self.targets.keys().filter(|id| !listed_ids.contains(*id));
         let missing: Vec<Name> = missing.cloned().collect();
         for id in missing {
-            self.unlisted(now, &id);
+            self.mark_unlisted(now, &id);
         }
     }
 
-    fn listed(&mut self, now: Millis, entry: TargetEntry) {
+    fn apply_entry(&mut self, now: Millis, entry: TargetEntry) {
         let id = entry.id.clone();
         let Some(target) = self.targets.get_mut(&id) else {
-            let learned = self.learned_of_new(&entry);
-            self.targets.insert(id, Target::new(entry, learned));
+            let learned_speed = self.initial_speed(&entry);
+            self.targets.insert(id, Target::new(entry, learned_speed));
             self.assignment.targets_changed();
             return;
         };
         let leaves = entry.leaving && !target.entry.leaving;
         let usable_again = std::mem::take(&mut target.entry_unusable);
-        let capacity = target.take_entry(now, entry);
+        let capacity = target.update_entry(now, entry);
         target.unlisted_since = None;
         self.unlisted.remove(&id);
         if leaves {
@@ -126,7 +126,7 @@
     }
 
     /// Takes a known target out of use whose entry names none any more.
-    fn entry_unusable(&mut self, id: &Name) {
+    fn mark_entry_unusable(&mut self, id: &Name) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
@@ -138,7 +138,7 @@
         }
     }
 
-    fn unlisted(&mut self, now: Millis, id: &Name) {
+    fn mark_unlisted(&mut self, now: Millis, id: &Name) {
         if let Some(target) = self.targets.get_mut(id) {
             if target.unlisted_since.is_none() {
                 target.unlisted_since = Some(now);
@@ -149,21 +149,21 @@
     }
 
     /// Forgets targets that aren't listed and on which nothing can run any more.
-    pub(super) fn forget_unlisted(&mut self, now: Millis) {
+    pub(super) fn remove_unlisted(&mut self, now: Millis) {
         if !self.store.list_is_settled(now) {
             return;
         }
-        let gone = self.unlisted.iter().filter(|id| {
+        let removed = self.unlisted.iter().filter(|id| {
             let target = &self.targets[*id];
             target.is_idle() && target.lease.renewal.is_none()
         });
-        let gone: Vec<Name> = gone.cloned().collect();
-        for id in gone {
+        let removed: Vec<Name> = removed.cloned().collect();
+        for id in removed {
             self.targets.remove(&id);
             self.leased.remove(&id);
             self.active.remove(&id);
             self.unlisted.remove(&id);
-            self.assignment.forget(&id);
+            self.assignment.remove(&id);
             self.record_target(&id, TargetBelief::Gone, BeliefSource::List);
         }
     }
--- a/crates/dispatcher-core/src/targets/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -11,17 +11,17 @@
 mod capacity;
 mod claims;
 mod ends;
-mod learned;
+mod free_capacity;
+mod incarnations;
+mod learned_times;
 mod lease;
 mod list;
-mod lives;
 mod renewals;
 mod replies;
-mod room;
 mod starts;
 mod stops;
 mod target;
-mod unsent;
+mod unsent_starts;
 mod usable;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -40,18 +40,18 @@
 
 pub use attempt::{EndReport, Owner, OwnerSession};
 use claims::Assignment;
-use learned::LearnedTimes;
-use lease::Tokens;
-use list::StoreView;
-pub use room::PoolCapacity;
+pub use free_capacity::PoolCapacity;
+use learned_times::LearnedTimes;
+use lease::TokenGenerator;
+use list::StoreState;
 pub use starts::Reach;
 use target::Target;
 pub use usable::Runnable;
 
 /// How long a reply from a target is awaited, its own waiting aside, in ms.
-const REPLY_WAIT_MS: Millis = 100;
+const REPLY_TIMEOUT_MS: Millis = 100;
 /// Between calls to a target that doesn't answer, in ms.
-const SILENT_RETRY_MS: Millis = 100;
+const SILENT_RETRY_INTERVAL_MS: Millis = 100;
 
 /// What ends within this is about to, in ms: a task that comes now may as well wait for it.
 pub const FREED_SOON_MS: Millis = 100;
@@ -64,7 +64,7 @@
     /// The target's clock as last heard before.
     clock: Option<Millis>,
     /// Whether this host stood still since: the reply may be old.
-    before_pause: bool,
+    sent_before_suspension: bool,
     target: Name,
     purpose: Purpose,
 }
@@ -74,7 +74,7 @@
 enum Purpose {
     Renewal {
         /// When it was sent.
-        asked: Millis,
+        requested: Millis,
     },
     Start(AttemptId),
     Stop(AttemptId),
@@ -113,17 +113,17 @@
     draining: Halls,
     /// What is added to the time for which replies are waited for; see
     /// [`crate::rules::congestion`].
-    added_wait: Millis,
+    added_wait_ms: Millis,
     start_replies: StartReplies,
     /// The running times of kinds of tasks, where they are learned.
-    learned: Option<LearnedTimes>,
+    learned_times: Option<LearnedTimes>,
     assignment: Assignment,
-    tokens: Tokens,
+    tokens: TokenGenerator,
     /// The tasks with an attempt on any target.
     tasks: HashSet<Name>,
     /// Attempts that were stopped before they came, and until when that is known.
     stopped_early: HashMap<AttemptId, Millis>,
-    store: StoreView,
+    store: StoreState,
     calls: HashMap<CallId, Sent>,
     last_call: u64,
     reports: Vec<EndReport>,
@@ -144,14 +144,14 @@
             unlisted: BTreeSet::new(),
             pools: None,
             draining: Halls::default(),
-            added_wait: 0,
+            added_wait_ms: 0,
             start_replies: StartReplies::default(),
-            learned: LearnedTimes::wanted(settings),
+            learned_times: LearnedTimes::from_settings(settings),
             assignment: Assignment::new(settings.name.clone()),
-            tokens: Tokens::new(settings.epoch_ms, &settings.name),
+            tokens: TokenGenerator::new(settings.epoch_ms, &settings.name),
             tasks: HashSet::new(),
             stopped_early: HashMap::new(),
-            store: StoreView::default(),
+            store: StoreState::default(),
             calls: HashMap::new(),
             last_call: 0,
             reports: Vec::new(),
@@ -162,12 +162,12 @@
     /// Does what is due.
     pub fn tick(&mut self, now: Millis) {
         self.stopped_early.retain(|_, until| *until > now);
-        self.forget_inactive();
+        self.remove_inactive();
         self.for_each_active(|target| target.expire_reservation(now));
-        self.forget_unlisted(now);
+        self.remove_unlisted(now);
         self.end_expired(now);
         self.forecast(now);
-        self.stop_hopeless(now);
+        self.stop_stalled_or_overrunning(now);
         self.send_stops(now);
     }
 
@@ -225,7 +225,7 @@
 
     /// Waits longer for replies by so many ms.
     pub fn set_added_wait(&mut self, added_ms: Millis) {
-        self.added_wait = added_ms;
+        self.added_wait_ms = added_ms;
     }
 
     /// Returns the targets for which anything may be due.
@@ -242,7 +242,7 @@
     }
 
     /// Drops targets from the active ones that were given up and on which nothing runs.
-    fn forget_inactive(&mut self) {
+    fn remove_inactive(&mut self) {
         let targets = &self.targets;
         self.active.retain(|id| {
             let target = &targets[id];
@@ -259,7 +259,7 @@
     fn call(&mut self, id: &Name, purpose: Purpose, order: TargetCall, wait_ms: Millis) -> CallId {
         self.last_call += 1;
         let call = CallId(self.last_call);
-        let wait_ms = wait_ms + self.added_wait;
+        let wait_ms = wait_ms + self.added_wait_ms;
         let target = &self.targets[id];
         let token = target.lease.token;
         self.actions.push(Action::Target {
@@ -272,8 +272,8 @@
         });
         let sent = Sent {
             token,
-            clock: target.clock_heard(),
-            before_pause: false,
+            clock: target.last_clock(),
+            sent_before_suspension: false,
             target: id.clone(),
             purpose,
         };
--- a/crates/dispatcher-core/src/targets/renewals.rs
+++ b/crates/dispatcher-core/src/targets/renewals.rs
@@ -10,11 +10,11 @@
 
 use super::lease::LeaseStage;
 use super::target::Target;
-use super::{Purpose, TargetLeases, REPLY_WAIT_MS};
+use super::{Purpose, TargetLeases, REPLY_TIMEOUT_MS};
 
 /// How long a target may wait for an end before it answers a renewal, where an end is awaited that
 /// other news may show, in ms.
-const AWAITED_END_WAIT_MS: Millis = 20;
+const AWAITED_END_POLL_MS: Millis = 20;
 
 impl TargetLeases {
     /// Ends attempts on targets whose lease expired: nothing of them can run any
@@ -26,16 +26,17 @@
             let target = target.expect("active targets are known");
             let waits = self.safeguards.silent_attempts_are_waited_for;
             let silent = target.health.silent_since().is_some();
-            let over = target.lease.attempts_are_over(now) || (!waits && silent);
-            if !target.is_idle() && over {
+            let expired = target.lease.have_attempts_expired(now) || (!waits && silent);
+            if !target.is_idle() && expired {
                 let loss = if target.refuses_since.is_some() {
                     TargetLoss::ProcessGone
                 } else {
                     TargetLoss::Silent
                 };
-                let reports = target.end_all(now, loss, gone_by, EndEvidence::LeaseExpired);
+                let reports =
+                    target.end_all_attempts(now, loss, gone_by, EndEvidence::LeaseExpired);
                 self.reports.extend(reports);
-                target.doubt_life();
+                target.mark_incarnation_unconfirmed();
             }
         }
     }
@@ -57,7 +58,7 @@
         self.refresh_token(now, id);
         let target = &self.targets[id];
         // What is left to the lease would run on with what runs beside it.
-        let renews = renews_lease(target) && !self.is_left_to_lease(target);
+        let renews = extends_lease(target) && !self.lets_lease_expire(target);
         let target = self.targets.get_mut(id).expect("the target was found");
         let until = if renews {
             target.extend_lease(now, &self.times)
@@ -70,8 +71,8 @@
             acknowledged: acknowledged(target),
             wait_ms,
         };
-        let purpose = Purpose::Renewal { asked: now };
-        let call = self.call(id, purpose, order, wait_ms + REPLY_WAIT_MS);
+        let purpose = Purpose::Renewal { requested: now };
+        let call = self.call(id, purpose, order, wait_ms + REPLY_TIMEOUT_MS);
         let target = self.targets.get_mut(id).expect("the target was found");
         target.lease.renewal = Some(call);
     }
@@ -102,16 +103,16 @@
 /// After a call without reply the target may have started again with a clock that began anew: it
 /// would take a time of the old clock for the longest lease that it grants, on all that it runs
 /// from then on. Guards against a holder that takes such attempts for over while they run.
-fn renews_lease(target: &Target) -> bool {
-    let runs_any = !target.is_idle() && !target.has_unsent();
-    target.lease.is_held() && runs_any && target.knows_life()
+fn extends_lease(target: &Target) -> bool {
+    let runs_any = !target.is_idle() && !target.has_unsent_starts();
+    target.lease.is_held() && runs_any && target.is_incarnation_certain()
 }
 
 /// Returns up to which number ends are acknowledged. After a call without reply the target may
 /// have started again, and number its ends anew: those of its new life that nobody has heard of
 /// would be forgotten.
 fn acknowledged(target: &Target) -> u64 {
-    if target.knows_life() {
+    if target.is_incarnation_certain() {
         target.lease.acknowledged
     } else {
         0
@@ -123,10 +124,10 @@
     let silent = target.health.silent_since().is_some();
     let acquiring = target.lease.stage == LeaseStage::Acquiring;
     let idle = target.lease.is_held() && target.is_idle();
-    if silent || acquiring || idle || target.has_unsent() {
+    if silent || acquiring || idle || target.has_unsent_starts() {
         0
     } else if target.awaits_end() {
-        AWAITED_END_WAIT_MS
+        AWAITED_END_POLL_MS
     } else {
         longest
     }
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -11,14 +11,14 @@
 use crate::Millis;
 
 use super::ends::Listing;
+use super::incarnations::accepted_call_clock;
 use super::lease::LeaseStage;
-use super::lives::heeded_clock;
-use super::{Purpose, Sent, TargetLeases, SILENT_RETRY_MS};
+use super::{Purpose, Sent, TargetLeases, SILENT_RETRY_INTERVAL_MS};
 
 /// Between renewals of a target on which nothing runs, in ms.
-const IDLE_RENEWAL_MS: Millis = 3_000;
+const IDLE_RENEWAL_INTERVAL_MS: Millis = 3_000;
 /// Between tries at a target that doesn't answer and isn't held, in ms.
-const ACQUIRE_RETRY_MS: Millis = 500;
+const ACQUIRE_RETRY_INTERVAL_MS: Millis = 500;
 
 impl TargetLeases {
     /// Handles a target's reply, or that there is none.
@@ -32,7 +32,7 @@
             return;
         };
         match &reply {
-            Ok(reply) => self.look_at_life(now, &sent, reply),
+            Ok(reply) => self.detect_restart(now, &sent, reply),
             Err(SendFailure::Refused) => {
                 if let Some(target) = self.targets.get_mut(&sent.target) {
                     target.refuses_since.get_or_insert(now);
@@ -44,21 +44,23 @@
             token,
             target,
             purpose,
-            before_pause,
+            sent_before_suspension,
             ..
         } = sent;
         match purpose {
-            Purpose::Renewal { asked } => self.renewal_replied(now, call, &target, asked, reply),
+            Purpose::Renewal { requested } => {
+                self.handle_renewal_reply(now, call, &target, requested, reply)
+            }
             Purpose::Start(id) => {
-                self.hear_clock(now, token, before_pause, &target, &reply);
-                if !before_pause {
-                    self.observe_start(now, &target, &id, &reply);
+                self.record_reply_clock(now, token, sent_before_suspension, &target, &reply);
+                if !sent_before_suspension {
+                    self.observe_start_reply(now, &target, &id, &reply);
                 }
-                self.start_replied(now, token, &target, &id, reply);
+                self.handle_start_reply(now, token, &target, &id, reply);
             }
             Purpose::Stop(id) => {
-                self.hear_clock(now, token, before_pause, &target, &reply);
-                self.stop_replied(now, call, token, &target, &id, reply);
+                self.record_reply_clock(now, token, sent_before_suspension, &target, &reply);
+                self.handle_stop_reply(now, call, token, &target, &id, reply);
             }
         }
     }
@@ -66,28 +68,28 @@
     /// Takes the clock that a reply to a start or a stop tells. A call with an earlier token may
     /// have come to another life of the target, and a reply from before this host stood still
     /// tells of the past.
-    fn hear_clock(
+    fn record_reply_clock(
         &mut self,
         now: Millis,
         token: u64,
-        before_pause: bool,
+        sent_before_suspension: bool,
         id: &Name,
         reply: &Result<TargetReply, SendFailure>,
     ) {
-        let clock = reply.as_ref().ok().and_then(heeded_clock);
+        let clock = reply.as_ref().ok().and_then(accepted_call_clock);
         if let (Some(clock), Some(target)) = (clock, self.targets.get_mut(id)) {
-            if token == target.lease.token && !before_pause {
-                target.heard_clock(now, clock);
+            if token == target.lease.token && !sent_before_suspension {
+                target.record_clock(now, clock);
             }
         }
     }
 
-    fn renewal_replied(
+    fn handle_renewal_reply(
         &mut self,
         now: Millis,
         call: CallId,
         id: &Name,
-        asked: Millis,
+        requested: Millis,
         reply: Result<TargetReply, SendFailure>,
     ) {
         let Some(target) = self.targets.get_mut(id) else {
@@ -106,36 +108,36 @@
                 capacity,
                 ..
             }) => {
-                let told = target.take_listed_capacity(asked, capacity);
-                self.record_capacity(id, told, BeliefSource::Renewal);
+                let change = target.update_listed_capacity(requested, capacity);
+                self.record_capacity(id, change, BeliefSource::Renewal);
                 let listing = Listing {
-                    asked,
+                    requested,
                     clock,
                     running: &running,
                     ended: &ended,
                 };
-                self.listing_replied(now, id, clock, &listing);
+                self.handle_listing(now, id, clock, &listing);
             }
             Ok(TargetReply::StaleToken { .. }) => {
                 let token = target.lease.token;
                 self.token_superseded(now, id, token);
             }
-            Ok(TargetReply::WrongIncarnation) => self.incarnation_over(now, id),
+            Ok(TargetReply::WrongIncarnation) => self.handle_wrong_incarnation(now, id),
             // It answers, if not to the point: a later renewal shows more.
-            Ok(_) => target.lease.next_renewal = now + SILENT_RETRY_MS,
-            Err(_) => self.missed(now, id, BeliefSource::Renewal),
+            Ok(_) => target.lease.next_renewal = now + SILENT_RETRY_INTERVAL_MS,
+            Err(_) => self.handle_missed_reply(now, id, BeliefSource::Renewal),
         }
     }
 
-    fn listing_replied(&mut self, now: Millis, id: &Name, clock: Millis, listing: &Listing<'_>) {
+    fn handle_listing(&mut self, now: Millis, id: &Name, clock: Millis, listing: &Listing<'_>) {
         let target = self.targets.get_mut(id).expect("the target was found");
         let was_silent = target.health.silent_since().is_some();
         let was_held = target.lease.is_held();
-        target.heard_clock(now, clock);
+        target.record_clock(now, clock);
         let settles = self.safeguards.new_holders_settle;
-        let reports = target.take_listing(now, listing, settles);
+        let reports = target.apply_listing(now, listing, settles);
         let idle = target.is_idle() && !target.awaits_end();
-        target.lease.next_renewal = now + if idle { IDLE_RENEWAL_MS } else { 0 };
+        target.lease.next_renewal = now + if idle { IDLE_RENEWAL_INTERVAL_MS } else { 0 };
         let acquired = target.lease.is_held() && !was_held;
         if acquired && self.safeguards.earlier_leases_are_reckoned {
             // Before it knew this host's token, a new life of the target may have taken a time of
@@ -150,25 +152,25 @@
         }
         self.learn_from(now, id, &reports);
         self.reports.extend(reports);
-        self.target_heard(now, id);
+        self.resolve_unsent_starts(now, id);
     }
 
     /// Records that a call had no reply.
-    fn missed(&mut self, now: Millis, id: &Name, by: BeliefSource) {
+    fn handle_missed_reply(&mut self, now: Millis, id: &Name, by: BeliefSource) {
         self.end_unsent(now, id);
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        if !target.missed(now) {
+        if !target.record_missed_reply(now) {
             // One lost answer is not silence.
             target.lease.next_renewal = now;
             return;
         }
         let silent_now = target.health.silent_since() == Some(now);
         let retry = if target.lease.stage == LeaseStage::Acquiring {
-            ACQUIRE_RETRY_MS
+            ACQUIRE_RETRY_INTERVAL_MS
         } else {
-            SILENT_RETRY_MS
+            SILENT_RETRY_INTERVAL_MS
         };
         target.lease.next_renewal = now + retry;
         if silent_now {
@@ -178,7 +180,7 @@
 
     /// Learns how long replies to starts take. One to a start from before this host stood still
     /// doesn't show it.
-    fn observe_start(
+    fn observe_start_reply(
         &mut self,
         now: Millis,
         target: &Name,
@@ -197,7 +199,7 @@
         }
     }
 
-    fn start_replied(
+    fn handle_start_reply(
         &mut self,
         now: Millis,
         token: u64,
@@ -212,49 +214,51 @@
         let report = match reply {
             Ok(TargetReply::Accepted { clock } | TargetReply::Listing { clock, .. }) => {
                 target.confirm(now, id);
-                target.begun(id, clock);
+                target.record_start(id, clock);
                 None
             }
             Ok(TargetReply::StartDeadlinePassed { .. }) => {
-                target.end(now, id, lost, EndEvidence::StartDeadlinePassed)
+                target.end_attempt(now, id, lost, EndEvidence::StartDeadlinePassed)
             }
             Ok(TargetReply::InsufficientResources { .. }) => {
                 target.lease.next_renewal = now;
                 target.health.failed(now);
-                target.end(now, id, lost, EndEvidence::InsufficientResources)
+                target.end_attempt(now, id, lost, EndEvidence::InsufficientResources)
             }
             Ok(TargetReply::StaleAttempt { .. }) => {
                 let outcome = AttemptOutcome::StaleAttempt;
-                target.end(now, id, outcome, EndEvidence::StaleAttempt)
+                target.end_attempt(now, id, outcome, EndEvidence::StaleAttempt)
             }
             Ok(TargetReply::Refused { .. }) => {
                 target.health.suspend(now);
-                target.end(now, id, lost, EndEvidence::Refused)
+                target.end_attempt(now, id, lost, EndEvidence::Refused)
             }
             Ok(TargetReply::StaleToken { .. }) => {
-                let report = target.end(now, id, lost, EndEvidence::StaleToken);
+                let report = target.end_attempt(now, id, lost, EndEvidence::StaleToken);
                 self.reports.extend(report);
                 return self.token_superseded(now, target_id, token);
             }
-            Ok(TargetReply::WrongIncarnation) => return self.incarnation_over(now, target_id),
+            Ok(TargetReply::WrongIncarnation) => {
+                return self.handle_wrong_incarnation(now, target_id)
+            }
             Err(SendFailure::Refused | SendFailure::NotSent) => {
-                let report = target.end(now, id, lost, EndEvidence::NotSent);
+                let report = target.end_attempt(now, id, lost, EndEvidence::NotSent);
                 self.reports.extend(report);
-                return self.missed(now, target_id, BeliefSource::Start);
+                return self.handle_missed_reply(now, target_id, BeliefSource::Start);
             }
             Err(SendFailure::Unknown) if !self.safeguards.starts_are_doubted => {
-                target.end(now, id, lost, EndEvidence::NoReply)
+                target.end_attempt(now, id, lost, EndEvidence::NoReply)
             }
             Err(SendFailure::Unknown) => {
-                target.doubt(id);
-                self.missed(now, target_id, BeliefSource::Start);
+                target.request_stop_if_unconfirmed(id);
+                self.handle_missed_reply(now, target_id, BeliefSource::Start);
                 return self.send_stops(now);
             }
         };
         self.reports.extend(report);
     }
 
-    fn stop_replied(
+    fn handle_stop_reply(
         &mut self,
         now: Millis,
         call: CallId,
@@ -268,18 +272,18 @@
         };
         match reply {
             Ok(TargetReply::Accepted { .. } | TargetReply::Listing { .. }) => {
-                target.stop_replied(now, id, call, true);
+                target.record_stop_reply(now, id, call, true);
                 target.lease.next_renewal = target.lease.next_renewal.min(now);
             }
             Ok(TargetReply::StaleToken { .. }) => {
-                target.stop_replied(now, id, call, false);
+                target.record_stop_reply(now, id, call, false);
                 self.token_superseded(now, target_id, token);
             }
-            Ok(TargetReply::WrongIncarnation) => self.incarnation_over(now, target_id),
-            Ok(_) => target.stop_replied(now, id, call, false),
+            Ok(TargetReply::WrongIncarnation) => self.handle_wrong_incarnation(now, target_id),
+            Ok(_) => target.record_stop_reply(now, id, call, false),
             Err(_) => {
-                target.stop_replied(now, id, call, false);
-                self.missed(now, target_id, BeliefSource::Stop);
+                target.record_stop_reply(now, id, call, false);
+                self.handle_missed_reply(now, target_id, BeliefSource::Stop);
             }
         }
     }
--- a/crates/dispatcher-core/src/targets/starts.rs
+++ b/crates/dispatcher-core/src/targets/starts.rs
@@ -12,7 +12,7 @@
 use super::{Owner, Purpose, TargetLeases};
 
 /// How long resources are reserved for a peer at most, in ms.
-const RESERVATION_MS: Millis = 30;
+const MAX_RESERVATION_MS: Millis = 30;
 
 /// On which targets a task may be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,9 +76,9 @@
     }
 
     fn start_on(&mut self, now: Millis, id: &Name, owner: &Owner, order: &TaskOrder) {
-        let is_asked_first = self.is_asked_first(now, &self.targets[id]);
+        let must_reply_first = self.must_reply_first(now, &self.targets[id]);
         let target = self.targets.get_mut(id).expect("the target was found");
-        target.add(now, &self.times, owner, order);
+        target.add_attempt(now, &self.times, owner, order);
         self.tasks.insert(order.id.task.clone());
         self.actions.push(Action::Record(Decision::AttemptStarted {
             id: order.id.clone(),
@@ -86,21 +86,21 @@
             owner: owner.host.clone(),
             left_cpu: target.free().cpu,
         }));
-        if !is_asked_first {
+        if !must_reply_first {
             self.send_start(now, id, &order.id);
         }
     }
 
     /// Sends the start of an attempt, unless it was sent before.
     pub(super) fn send_start(&mut self, now: Millis, target_id: &Name, id: &AttemptId) {
-        let extends = !self.is_left_to_lease(&self.targets[target_id]);
+        let extends = !self.lets_lease_expire(&self.targets[target_id]);
         let target = self
             .targets
             .get_mut(target_id)
             .expect("the target was found");
-        let latest_begin = now + self.times.target_lease_true;
+        let latest_start = now + self.times.target_lease_true;
         let attempt = target.attempts.get_mut(id);
-        let specification = attempt.and_then(|attempt| attempt.send(now, latest_begin));
+        let specification = attempt.and_then(|attempt| attempt.mark_sent(now, latest_start));
         let Some(specification) = specification else {
             return;
         };
@@ -122,7 +122,7 @@
         let freest = fitting.max_by_key(|target| target.free().cpu)?;
         let (id, free) = (freest.entry.id.clone(), freest.free_in_pool());
         let target = self.targets.get_mut(&id).expect("the target was found");
-        target.reserve(peer, now + RESERVATION_MS + self.added_wait);
+        target.reserve(peer, now + MAX_RESERVATION_MS + self.added_wait_ms);
         Some(free)
     }
 
--- a/crates/dispatcher-core/src/targets/stops.rs
+++ b/crates/dispatcher-core/src/targets/stops.rs
@@ -10,11 +10,11 @@
 use crate::message::AttemptId;
 use crate::Millis;
 
-use super::{OwnerSession, Purpose, TargetLeases, REPLY_WAIT_MS, SILENT_RETRY_MS};
+use super::{OwnerSession, Purpose, TargetLeases, REPLY_TIMEOUT_MS, SILENT_RETRY_INTERVAL_MS};
 
 /// How long it is remembered that an attempt was stopped before it came, in ms: a request to start
 /// it may be on its way.
-const STOPPED_EARLY_MS: Millis = 3_000;
+const STOPPED_EARLY_RETENTION_MS: Millis = 3_000;
 
 /// An attempt that is being stopped.
 struct Stopping {
@@ -40,7 +40,7 @@
         for id in ids {
             let Some(target_id) = self.target_with(id, owner) else {
                 self.stopped_early
-                    .insert(id.clone(), now + STOPPED_EARLY_MS);
+                    .insert(id.clone(), now + STOPPED_EARLY_RETENTION_MS);
                 missing.push(id.clone());
                 continue;
             };
@@ -99,21 +99,18 @@
     }
 
     /// Stops attempts that overrun or stand still, and suspends their targets.
-    pub(super) fn stop_hopeless(&mut self, now: Millis) {
+    pub(super) fn stop_stalled_or_overrunning(&mut self, now: Millis) {
         for target_id in self.active.clone() {
             let target = self.targets.get_mut(&target_id);
             let target = target.expect("active targets are known");
-            let hopeless = target.hopeless(now);
-            if hopeless
-                .iter()
-                .any(|(id, _)| target.is_suspect_for(now, id))
-            {
+            let ending = target.stalled_or_overrunning(now);
+            if ending.iter().any(|(id, _)| target.is_suspect_for(now, id)) {
                 target.health.suspend(now);
             }
-            for (id, reason) in hopeless {
+            for (id, reason) in ending {
                 target.request_stop(&id, true);
-                if let Some(times) = &mut self.learned {
-                    times.outlived(now, &target.attempts[&id], target.slowdown(now));
+                if let Some(times) = &mut self.learned_times {
+                    times.record_outlived(now, &target.attempts[&id], target.slowdown(now));
                 }
                 self.actions.push(Action::Record(Decision::AttemptStopping {
                     id,
@@ -141,7 +138,7 @@
         let mut stops = Vec::new();
         for (target_id, target) in self.active_targets() {
             let silent_since = target.health.silent_since();
-            let silent = silent_since.is_some_and(|since| since + SILENT_RETRY_MS < now);
+            let silent = silent_since.is_some_and(|since| since + SILENT_RETRY_INTERVAL_MS < now);
             if target.lease.is_free() || silent {
                 continue;
             }
@@ -153,9 +150,14 @@
                 continue;
             }
             let order = TargetCall::Stop(id.clone());
-            let call = self.call(&target_id, Purpose::Stop(id.clone()), order, REPLY_WAIT_MS);
+            let call = self.call(
+                &target_id,
+                Purpose::Stop(id.clone()),
+                order,
+                REPLY_TIMEOUT_MS,
+            );
             if let Some(target) = self.targets.get_mut(&target_id) {
-                target.stop_sent(now, &id, call);
+                target.record_stop_sent(now, &id, call);
             }
         }
     }
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -17,9 +17,9 @@
 
 use super::attempt::{Attempt, Owner, StopStage};
 use super::capacity::Capacity;
-use super::learned::LearnedSpeed;
+use super::learned_times::LearnedSpeed;
 use super::lease::{Lease, LeaseStage};
-use super::REPLY_WAIT_MS;
+use super::REPLY_TIMEOUT_MS;
 
 /// What a target's clock showed, and when on this host's clock.
 #[derive(Clone, Copy, Debug)]
@@ -48,28 +48,28 @@
     pub(super) lease: Lease,
     pub(super) health: TargetHealth,
     /// How slow it is, where running times are learned.
-    pub(super) learned: Option<LearnedSpeed>,
+    pub(super) learned_speed: Option<LearnedSpeed>,
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
     clock: Option<ClockReading>,
     /// Until when this host last extended the lease, on the target's clock.
     extended_until: Option<Millis>,
     /// When the life began that listed last, if it tells.
-    pub(super) born: Option<Born>,
+    pub(super) incarnation_start: Option<Born>,
     reservation: Option<Reservation>,
     /// The attempt beside which nothing else may run, while it is there.
-    alone: Option<AttemptId>,
+    exclusive_attempt: Option<AttemptId>,
     /// Since when nothing listens at its address, as far as it wasn't heard since.
     pub(super) refuses_since: Option<Millis>,
     /// What it had when it was found to have started again, and how that ends where the new
     /// life doesn't list it.
-    pub(super) lost_life: BTreeMap<AttemptId, AttemptOutcome>,
+    pub(super) restart_outcomes: BTreeMap<AttemptId, AttemptOutcome>,
 }
 
 impl Target {
     /// Creates a target that this host doesn't hold.
     ///
     /// `learned` is none where running times aren't learned.
-    pub(super) fn new(entry: TargetEntry, learned: Option<LearnedSpeed>) -> Self {
+    pub(super) fn new(entry: TargetEntry, learned_speed: Option<LearnedSpeed>) -> Self {
         Self {
             capacity: Capacity::new(entry.capacity),
             entry,
@@ -77,26 +77,26 @@
             entry_unusable: false,
             lease: Lease::not_held(),
             health: TargetHealth::default(),
-            learned,
+            learned_speed,
             attempts: BTreeMap::new(),
             clock: None,
             extended_until: None,
-            born: None,
+            incarnation_start: None,
             reservation: None,
-            alone: None,
+            exclusive_attempt: None,
             refuses_since: None,
-            lost_life: BTreeMap::new(),
+            restart_outcomes: BTreeMap::new(),
         }
     }
 
     /// Forgets what is no longer known once another host looks after it. Attempts
     /// there are reported as lost when they are over.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.reservation = None;
         self.clock = None;
         self.extended_until = None;
-        self.born = None;
-        self.forget_listed_capacity();
+        self.incarnation_start = None;
+        self.clear_listed_capacity();
         self.health.forget_silence();
     }
 
@@ -108,18 +108,18 @@
     /// Returns whether an attempt is being stopped that may be started elsewhere once the lease
     /// is over, whether or not the stop comes.
     pub(super) fn has_unconfirmed_stop(&self) -> bool {
-        self.attempts.values().any(Attempt::is_left_to_lease)
+        self.attempts.values().any(Attempt::has_unconfirmed_stop)
     }
 
     /// Returns whether an attempt runs that nothing else may run beside.
     fn is_quarantined(&self) -> bool {
-        let alone = self.alone.as_ref();
-        alone.is_some_and(|id| self.attempts.contains_key(id))
+        let exclusive = self.exclusive_attempt.as_ref();
+        exclusive.is_some_and(|id| self.attempts.contains_key(id))
     }
 
     /// Has nothing else run beside an attempt.
     pub(super) fn quarantine(&mut self, id: &AttemptId) {
-        self.alone = Some(id.clone());
+        self.exclusive_attempt = Some(id.clone());
     }
 
     /// Returns the free resources.
@@ -142,10 +142,10 @@
     }
 
     /// Returns whether tasks may be started, as far as the target itself has shown.
-    pub(super) fn takes_task(&self, now: Millis) -> bool {
+    pub(super) fn accepts_tasks(&self, now: Millis) -> bool {
         let known = self.lease.is_held() && self.clock.is_some();
         let is_very_slow = self
-            .learned
+            .learned_speed
             .as_ref()
             .is_some_and(LearnedSpeed::is_very_slow);
         known && self.health.takes_task(now, self.is_idle()) && (self.is_idle() || !is_very_slow)
@@ -155,7 +155,7 @@
     pub(super) fn fits(&self, order: &TaskOrder) -> bool {
         let spread = order.spread.as_ref().is_none_or(|limit| {
             let attempts = self.attempts.values();
-            let same_step = attempts.filter(|attempt| attempt.counts_for(limit));
+            let same_step = attempts.filter(|attempt| attempt.counts_towards(limit));
             same_step.count() < limit.most as usize
         });
         spread && !self.is_quarantined() && self.free().fits(&order.resources)
@@ -177,7 +177,7 @@
 
     /// Returns how many times as long as expected tasks take here.
     pub(super) fn slowdown(&self, now: Millis) -> f64 {
-        if let Some(learned) = &self.learned {
+        if let Some(learned) = &self.learned_speed {
             return learned.slowdown.factor;
         }
         let running = self.attempts.values();
@@ -203,12 +203,14 @@
 
     /// Ends a reservation whose time is over.
     pub(super) fn expire_reservation(&mut self, now: Millis) {
-        self.reservation.take_if(|kept| kept.until <= now);
+        self.reservation
+            .take_if(|reservation| reservation.until <= now);
     }
 
     /// Ends a reservation for a peer.
     pub(super) fn end_reservation(&mut self, peer: &Name) {
-        self.reservation.take_if(|kept| kept.peer == *peer);
+        self.reservation
+            .take_if(|reservation| reservation.peer == *peer);
     }
 
     /// Ends any reservation.
@@ -223,14 +225,20 @@
 
     /// Returns whether the free resources are reserved for another host.
     pub(super) fn is_reserved_for_others(&self, now: Millis, host: &Name) -> bool {
-        let kept = self.reservation.as_ref();
-        kept.is_some_and(|kept| kept.peer != *host && kept.until > now)
+        let reservation = self.reservation.as_ref();
+        reservation.is_some_and(|reservation| reservation.peer != *host && reservation.until > now)
     }
 
     /// Adds an attempt whose start is to be sent.
-    pub(super) fn add(&mut self, now: Millis, times: &Times, owner: &Owner, order: &TaskOrder) {
-        let latest_begin = now + times.target_lease_true;
-        let mut attempt = Attempt::new(now, latest_begin, owner, order);
+    pub(super) fn add_attempt(
+        &mut self,
+        now: Millis,
+        times: &Times,
+        owner: &Owner,
+        order: &TaskOrder,
+    ) {
+        let latest_start = now + times.target_lease_true;
+        let mut attempt = Attempt::new(now, latest_start, owner, order);
         attempt.is_far = target_choice::is_far(&self.entry, order);
         self.attempts.insert(order.id.clone(), attempt);
         self.lease.extend(now + times.target_attempts_over);
@@ -269,7 +277,7 @@
 
     /// Returns how long the lease lasts at least if nothing extends it, in ms of the target's
     /// clock.
-    pub(super) fn lease_left(&self, now: Millis) -> Millis {
+    pub(super) fn remaining_lease_ms(&self, now: Millis) -> Millis {
         let left = self.extended_until.zip(self.earliest_clock(now));
         left.map_or(0, |(until, clock)| until.saturating_sub(clock))
     }
@@ -283,43 +291,43 @@
 
     /// Returns whether it surely is the life that was heard last: since then no call went
     /// without reply, and its lease didn't expire.
-    pub(super) fn knows_life(&self) -> bool {
+    pub(super) fn is_incarnation_certain(&self) -> bool {
         self.clock.is_some() && !self.health.has_missed()
     }
 
     /// Records that it may have started again since it was heard: nothing is started there
     /// until it is heard again. Guards against a host that stood still and takes the next life
     /// for the one that it knew.
-    pub(super) fn doubt_life(&mut self) {
+    pub(super) fn mark_incarnation_unconfirmed(&mut self) {
         self.clock = None;
     }
 
     /// Returns whether it was heard at a time or later.
-    pub(super) fn was_heard_since(&self, time: Millis) -> bool {
+    pub(super) fn has_replied_since(&self, time: Millis) -> bool {
         self.clock.is_some_and(|reading| reading.received >= time)
     }
 
     /// Returns whether starts wait for it to be heard.
-    pub(super) fn has_unsent(&self) -> bool {
+    pub(super) fn has_unsent_starts(&self) -> bool {
         self.attempts
             .values()
-            .any(|attempt| attempt.unsent.is_some())
+            .any(|attempt| attempt.unsent_specification.is_some())
     }
 
     /// Returns the attempts whose starts wait for it to be heard.
-    pub(super) fn unsent(&self) -> Vec<AttemptId> {
+    pub(super) fn unsent_attempts(&self) -> Vec<AttemptId> {
         let attempts = self.attempts.iter();
-        let unsent = attempts.filter(|(_, attempt)| attempt.unsent.is_some());
+        let unsent = attempts.filter(|(_, attempt)| attempt.unsent_specification.is_some());
         unsent.map(|(id, _)| id.clone()).collect()
     }
 
     /// Returns its clock as last heard.
-    pub(super) fn clock_heard(&self) -> Option<Millis> {
+    pub(super) fn last_clock(&self) -> Option<Millis> {
         self.clock.map(|reading| reading.clock)
     }
 
     /// Records a reply's clock.
-    pub(super) fn heard_clock(&mut self, now: Millis, clock: Millis) {
+    pub(super) fn record_clock(&mut self, now: Millis, clock: Millis) {
         self.clock = Some(ClockReading {
             received: now,
             clock,
@@ -329,7 +337,7 @@
     }
 
     /// Records a call without reply; returns whether the target is silent.
-    pub(super) fn missed(&mut self, now: Millis) -> bool {
+    pub(super) fn record_missed_reply(&mut self, now: Millis) -> bool {
         self.health.missed(now, self.lease.is_held())
     }
 
@@ -341,7 +349,7 @@
     }
 
     /// Records that the target began an attempt, at a time of its clock.
-    pub(super) fn begun(&mut self, id: &AttemptId, clock: Millis) {
+    pub(super) fn record_start(&mut self, id: &AttemptId, clock: Millis) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.progress.get_or_insert(Progress::begun(clock));
         }
@@ -356,9 +364,9 @@
     }
 
     /// Has an attempt stopped whose start had no reply: it may run.
-    pub(super) fn doubt(&mut self, id: &AttemptId) {
+    pub(super) fn request_stop_if_unconfirmed(&mut self, id: &AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(id) {
-            if attempt.confirmed.is_none() && attempt.stop == StopStage::Wanted {
+            if attempt.confirmed.is_none() && attempt.stop == StopStage::NotRequested {
                 attempt.stop = StopStage::ToSend;
             }
         }
@@ -379,7 +387,7 @@
     }
 
     /// Records that a stop was sent.
-    pub(super) fn stop_sent(&mut self, now: Millis, id: &AttemptId, call: CallId) {
+    pub(super) fn record_stop_sent(&mut self, now: Millis, id: &AttemptId, call: CallId) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.stop = StopStage::Sent { call, at: now };
         }
@@ -387,10 +395,12 @@
 
     /// Has a stop sent again that can't have come: a listing that was asked for long after it,
     /// at `asked`, shows the attempt as running.
-    pub(super) fn repeat_stop(&mut self, id: &AttemptId, asked: Millis) {
+    pub(super) fn repeat_lost_stop(&mut self, id: &AttemptId, requested: Millis) {
         if let Some(attempt) = self.attempts.get_mut(id) {
-            let lost =
-                matches!(attempt.stop, StopStage::Sent { at, .. } if at + REPLY_WAIT_MS < asked);
+            let lost = matches!(
+                attempt.stop,
+                StopStage::Sent { at, .. } if at + REPLY_TIMEOUT_MS < requested
+            );
             if lost {
                 attempt.stop = StopStage::ToSend;
             }
@@ -398,7 +408,13 @@
     }
 
     /// Records whether a stop was carried out; one that wasn't is sent again.
-    pub(super) fn stop_replied(&mut self, now: Millis, id: &AttemptId, call: CallId, done: bool) {
+    pub(super) fn record_stop_reply(
+        &mut self,
+        now: Millis,
+        id: &AttemptId,
+        call: CallId,
+        done: bool,
+    ) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
@@ -416,14 +432,15 @@
     pub(super) fn awaits_end(&self) -> bool {
         let mut attempts = self.attempts.values();
         self.lease.stage == LeaseStage::Settling
-            || attempts.any(|attempt| attempt.stop != StopStage::Wanted)
+            || attempts.any(|attempt| attempt.stop != StopStage::NotRequested)
     }
 
     /// Returns the attempts that are to be tried elsewhere, and why.
-    pub(super) fn hopeless(&self, now: Millis) -> Vec<(AttemptId, StopReason)> {
-        let wanted = self.attempts.iter();
-        let wanted = wanted.filter(|(_, attempt)| attempt.stop == StopStage::Wanted);
-        let hopeless = wanted.filter_map(|(id, attempt)| {
+    pub(super) fn stalled_or_overrunning(&self, now: Millis) -> Vec<(AttemptId, StopReason)> {
+        let not_stopping = self.attempts.iter();
+        let not_stopping =
+            not_stopping.filter(|(_, attempt)| attempt.stop == StopStage::NotRequested);
+        let ending = not_stopping.filter_map(|(id, attempt)| {
             if attempt.stalled {
                 Some((id.clone(), StopReason::Stalled))
             } else if attempt.overruns(now, &self.health) {
@@ -432,6 +449,6 @@
                 None
             }
         });
-        hopeless.collect()
+        ending.collect()
     }
 }
--- a/crates/dispatcher-core/src/targets/unsent.rs
+++ b/crates/dispatcher-core/src/targets/unsent_starts.rs
@@ -19,19 +19,19 @@
 impl TargetLeases {
     /// Returns whether a target is to be heard before a start is sent to it. An idle one isn't
     /// believed for longer than a busy one, which answers each renewal within a long poll.
-    pub(super) fn is_asked_first(&self, now: Millis, target: &Target) -> bool {
-        let lately = now.saturating_sub(self.times.long_poll);
-        let unheard = target.is_idle() && !target.was_heard_since(lately);
-        self.safeguards.idle_targets_are_asked && (unheard || target.has_unsent())
+    pub(super) fn must_reply_first(&self, now: Millis, target: &Target) -> bool {
+        let recent = now.saturating_sub(self.times.long_poll);
+        let is_stale = target.is_idle() && !target.has_replied_since(recent);
+        self.safeguards.idle_targets_are_asked && (is_stale || target.has_unsent_starts())
     }
 
     /// Sends the starts that waited for a target that is heard now, if they may extend its lease.
-    pub(super) fn target_heard(&mut self, now: Millis, id: &Name) {
+    pub(super) fn resolve_unsent_starts(&mut self, now: Millis, id: &Name) {
         let target = &self.targets[id];
-        if !target.lease.is_held() || self.is_left_to_lease(target) {
+        if !target.lease.is_held() || self.lets_lease_expire(target) {
             return self.end_unsent(now, id);
         }
-        for attempt in target.unsent() {
+        for attempt in target.unsent_attempts() {
             self.send_start(now, id, &attempt);
         }
     }
@@ -56,14 +56,14 @@
 impl Target {
     /// Ends the attempts whose starts weren't sent.
     pub(super) fn end_unsent(&mut self, now: Millis) -> Vec<EndReport> {
-        let unsent = self.unsent().into_iter();
+        let unsent = self.unsent_attempts().into_iter();
         unsent
             .filter_map(|id| self.end_if_unsent(now, &id))
             .collect()
     }
 
     fn end_if_unsent(&mut self, now: Millis, id: &AttemptId) -> Option<EndReport> {
-        self.attempts.get(id)?.unsent.as_ref()?;
-        self.end(now, id, AttemptOutcome::NotBegun, EndEvidence::NotSent)
+        self.attempts.get(id)?.unsent_specification.as_ref()?;
+        self.end_attempt(now, id, AttemptOutcome::NotBegun, EndEvidence::NotSent)
     }
 }
--- a/crates/dispatcher-core/src/targets/usable.rs
+++ b/crates/dispatcher-core/src/targets/usable.rs
@@ -21,14 +21,14 @@
 
 /// How long a host that should leave a target to another waits for it to be empty before it starts
 /// nothing more there, in ms.
-const RELEASE_PATIENCE_MS: Millis = 1_000;
+const RELEASE_DELAY_MS: Millis = 1_000;
 /// How long the lease of a target has to last where it isn't extended before a stop is confirmed,
 /// in ms: the confirmation and a renewal have to come within it.
-const LEAST_LEASE_LEFT_MS: Millis = 200;
+const MIN_REMAINING_LEASE_MS: Millis = 200;
 /// The most targets with free resources that a reply tells of: a peer hands over what finds
 /// no target in its own hall, and hears again with its next request. Each takes some 20 bytes
 /// of every reply.
-const FREE_TOLD: usize = 4;
+const MAX_FREE_ENTRIES: usize = 4;
 
 /// Where a task could be run, once there are the resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
         let free = unreserved.map(Target::free_in_pool);
         let mut free: Vec<FreeResources> = free.filter(|free| free.resources.cpu > 0).collect();
         free.sort_by_key(|free| Reverse(free.resources.cpu));
-        free.truncate(FREE_TOLD);
+        free.truncate(MAX_FREE_ENTRIES);
         free
     }
 
@@ -137,18 +137,19 @@
         let listed = target.unlisted_since.is_none() || !self.store.list_is_settled(now);
         let leaving = target.entry.leaving && self.safeguards.leaving_is_heeded;
         let stays = !leaving && !target.entry_unusable && !self.is_draining(&target.entry.hall);
-        let lasts = !self.is_left_to_lease(target) || target.lease_left(now) >= LEAST_LEASE_LEFT_MS;
-        let open = lasts && !self.is_being_released(now, target);
-        listed && stays && open && target.takes_task(now)
+        let lasts = !self.lets_lease_expire(target)
+            || target.remaining_lease_ms(now) >= MIN_REMAINING_LEASE_MS;
+        let open = lasts && !self.is_release_due(now, target);
+        listed && stays && open && target.accepts_tasks(now)
     }
 
     /// Returns whether a target's lease is to run out unless stops are confirmed before.
-    pub(super) fn is_left_to_lease(&self, target: &Target) -> bool {
+    pub(super) fn lets_lease_expire(&self, target: &Target) -> bool {
         self.safeguards.unconfirmed_stops_end_leases && target.has_unconfirmed_stop()
     }
 
-    fn is_being_released(&self, now: Millis, target: &Target) -> bool {
+    fn is_release_due(&self, now: Millis, target: &Target) -> bool {
         let since = self.assignment.misassigned_since(&target.entry.id);
-        since.is_some_and(|since| since + RELEASE_PATIENCE_MS <= now)
+        since.is_some_and(|since| since + RELEASE_DELAY_MS <= now)
     }
 }
--- a/crates/dispatcher-core/tests/crashing_tasks.rs
+++ b/crates/dispatcher-core/tests/crashing_tasks.rs
@@ -26,7 +26,7 @@
     running: BTreeMap<AttemptId, Millis>,
     ended: Vec<ListedEnd>,
     ends: u64,
-    lives: u64,
+    incarnation: u64,
     down_until: Millis,
 }
 
@@ -51,7 +51,7 @@
             clock,
             running: running.collect(),
             ended: self.ended.clone(),
-            born: Some(Born(self.lives)),
+            born: Some(Born(self.incarnation)),
             capacity: None,
         }
     }
@@ -61,16 +61,16 @@
 type Crash = (String, usize);
 
 /// A host, its targets, and the tasks that crash them.
-struct Rack {
+struct TestCluster {
     rig: Rig,
     targets: BTreeMap<String, FakeTarget>,
-    bad: fn(&str) -> bool,
+    is_crashing: fn(&str) -> bool,
     crashes: Vec<Crash>,
     starts: BTreeMap<String, u32>,
 }
 
-impl Rack {
-    fn new(targets: usize, bad: fn(&str) -> bool) -> Self {
+impl TestCluster {
+    fn new(targets: usize, is_crashing: fn(&str) -> bool) -> Self {
         let entries: Vec<_> = (0..targets)
             .map(|at| target(&format!("t-{at:02}"), 16))
             .collect();
@@ -80,7 +80,7 @@
         Self {
             rig: Rig::holding_targets(&entries),
             targets: fakes.collect(),
-            bad,
+            is_crashing,
             crashes: Vec::new(),
             starts: BTreeMap::new(),
         }
@@ -102,19 +102,19 @@
     fn work(&mut self) {
         let now = self.rig.now;
         for target in self.targets.values_mut() {
-            let over = target.running.iter().filter(|(_, until)| **until <= now);
-            let over: Vec<AttemptId> = over.map(|(id, _)| id.clone()).collect();
-            if let Some(bad) = over.iter().find(|id| (self.bad)(&id.task)) {
+            let ended = target.running.iter().filter(|(_, until)| **until <= now);
+            let ended: Vec<AttemptId> = ended.map(|(id, _)| id.clone()).collect();
+            if let Some(crashing) = ended.iter().find(|id| (self.is_crashing)(&id.task)) {
                 self.crashes
-                    .push((bad.task.to_string(), target.running.len() - 1));
+                    .push((crashing.task.to_string(), target.running.len() - 1));
                 *target = FakeTarget {
-                    lives: target.lives + 1,
+                    incarnation: target.incarnation + 1,
                     down_until: now + DOWN_MS,
                     ..FakeTarget::default()
                 };
                 continue;
             }
-            for id in over {
+            for id in ended {
                 target.end(id, ListedOutcome::Done);
             }
         }
@@ -129,8 +129,8 @@
         }
         match &called.order {
             TargetCall::Start(start) => {
-                let bad = (self.bad)(&start.id.task);
-                let work = if bad { CRASHES_AFTER_MS } else { WORK_MS };
+                let crashes = (self.is_crashing)(&start.id.task);
+                let work = if crashes { CRASHES_AFTER_MS } else { WORK_MS };
                 target.running.insert(start.id.clone(), now + work);
                 *self.starts.entry(start.id.task.to_string()).or_default() += 1;
                 Ok(TargetReply::Accepted { clock })
@@ -171,70 +171,78 @@
 }
 
 case!(
-    a_bad_task_takes_two_targets_and_its_neighbours_one_attempt,
+    a_crashing_task_costs_two_targets_and_one_attempt_of_tasks_beside_it,
     {
-        let mut rack = Rack::new(6, only_the_first);
+        let mut cluster = TestCluster::new(6, only_the_first);
         for number in 1..=8 {
-            rack.submit(number);
+            cluster.submit(number);
         }
-        rack.pass(4_000);
-        assert_eq!(rack.crashes, [(task(1), 7), (task(1), 0)]);
-        assert_eq!(rack.answer_to(1), Some(&Answer::Failed));
+        cluster.pass(4_000);
+        assert_eq!(cluster.crashes, [(task(1), 7), (task(1), 0)]);
+        assert_eq!(cluster.answer_to(1), Some(&Answer::Failed));
         for number in 2..=8 {
-            assert_eq!(rack.answer_to(number), Some(&Answer::Completed), "{number}");
-            assert_eq!(rack.starts[&task(number)], 2);
+            assert_eq!(
+                cluster.answer_to(number),
+                Some(&Answer::Completed),
+                "{number}"
+            );
+            assert_eq!(cluster.starts[&task(number)], 2);
         }
     }
 );
 
 case!(five_of_a_hundred_tasks_crash_their_targets, {
-    let mut rack = Rack::new(40, one_in_twenty);
+    let mut cluster = TestCluster::new(40, one_in_twenty);
     for number in 1..=100 {
-        rack.submit(number);
+        cluster.submit(number);
     }
-    rack.pass(8_000);
+    cluster.pass(8_000);
     for number in 1..=100 {
         let name = task(number);
-        let crashes = rack.crashes.iter().filter(|crash| crash.0 == name).count();
+        let crashes = cluster
+            .crashes
+            .iter()
+            .filter(|crash| crash.0 == name)
+            .count();
         if one_in_twenty(&name) {
-            assert_eq!(rack.answer_to(number), Some(&Answer::Failed), "{number}");
+            assert_eq!(cluster.answer_to(number), Some(&Answer::Failed), "{number}");
             assert!((2..=3).contains(&crashes), "{number}: {crashes}");
         } else {
-            let answer = rack.answer_to(number);
+            let answer = cluster.answer_to(number);
             assert_eq!(answer, Some(&Answer::Completed), "{number}");
             assert!(
-                rack.starts[&name] <= 2,
+                cluster.starts[&name] <= 2,
                 "{number} lost more than one attempt"
             );
         }
     }
     // Neighbours are lost at the first crash under each bad task alone.
-    let shared = rack.crashes.iter().filter(|crash| crash.1 > 0).count();
-    assert!(shared <= 5, "{:?}", rack.crashes);
+    let shared = cluster.crashes.iter().filter(|crash| crash.1 > 0).count();
+    assert!(shared <= 5, "{:?}", cluster.crashes);
 });
 
-case!(a_job_that_comes_again_has_its_crashes_counted_on, {
-    let mut rack = Rack::new(6, only_the_first);
-    rack.submit(1);
-    rack.pass(100);
-    assert_eq!(rack.crashes.len(), 1);
+case!(crashes_of_a_resubmitted_job_are_added_up, {
+    let mut cluster = TestCluster::new(6, only_the_first);
+    cluster.submit(1);
+    cluster.pass(100);
+    assert_eq!(cluster.crashes.len(), 1);
     // Its caller leaves before the crash is known.
     let request_id = RequestId(1);
-    rack.rig.event(Event::CallerGone { request_id });
-    rack.pass(1_300);
+    cluster.rig.event(Event::CallerGone { request_id });
+    cluster.pass(1_300);
     let steps = vec![step(1, 2_000, WORK_MS)];
-    rack.rig.submit(2, &id(1), steps.clone(), 8_000);
-    rack.pass(3_000);
+    cluster.rig.submit(2, &id(1), steps.clone(), 8_000);
+    cluster.pass(3_000);
     // It was being stopped at the first crash, so that two more make it sure.
-    assert_eq!(rack.rig.answer_to(2), Some(&Answer::Failed));
-    assert_eq!(rack.crashes.len(), 3);
-    rack.rig.submit(3, &id(1), steps, 8_000);
-    assert_eq!(rack.rig.answer_to(3), Some(&Answer::Failed), "at once");
-    rack.pass(1_000);
-    assert_eq!(rack.starts[&task(1)], 3);
+    assert_eq!(cluster.rig.answer_to(2), Some(&Answer::Failed));
+    assert_eq!(cluster.crashes.len(), 3);
+    cluster.rig.submit(3, &id(1), steps, 8_000);
+    assert_eq!(cluster.rig.answer_to(3), Some(&Answer::Failed), "at once");
+    cluster.pass(1_000);
+    assert_eq!(cluster.starts[&task(1)], 3);
 });
 
-fn told(alone: u32, beside_others: u32) -> Request {
+fn crash_report(alone: u32, beside_others: u32) -> Request {
     Request::Crashes(vec![CrashRecord {
         task: task(1).into(),
         attempt: 7,
@@ -244,20 +252,17 @@
     }])
 }
 
-case!(
-    a_host_that_was_told_starts_no_more_than_the_one_that_counted,
-    {
-        let mut rig = Rig::holding_targets(&[target("near", 16)]);
-        rig.peer_asks(8, told(1, 1));
-        rig.submit(1, &id(1), vec![step(2, 2_000, WORK_MS)], 1_500);
-        assert_eq!(rig.answer_to(1), Some(&Answer::Failed));
-        assert_eq!(rig.starts(), []);
-    }
-);
+case!(crashes_reported_by_a_peer_limit_starts, {
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
+    rig.peer_asks(8, crash_report(1, 1));
+    rig.submit(1, &id(1), vec![step(2, 2_000, WORK_MS)], 1_500);
+    assert_eq!(rig.answer_to(1), Some(&Answer::Failed));
+    assert_eq!(rig.starts(), []);
+});
 
-case!(a_job_that_keeps_coming_is_not_forgotten, {
+case!(crash_counts_of_a_job_that_is_resubmitted_are_kept, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.peer_asks(8, told(1, 1));
+    rig.peer_asks(8, crash_report(1, 1));
     for request_id in 1..=3 {
         rig.pass(5_000);
         let steps = vec![step(2, 2_000, WORK_MS)];
@@ -267,32 +272,35 @@
     assert_eq!(rig.starts(), []);
 });
 
-case!(a_host_that_was_told_of_one_crash_runs_the_task_alone, {
+case!(a_task_with_one_reported_crash_runs_alone, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.peer_asks(8, told(1, 0));
+    rig.peer_asks(8, crash_report(1, 0));
     rig.submit(1, &id(1), vec![step(2, 2_000, WORK_MS)], 1_500);
     rig.submit(2, &id(2), vec![step(1, 2_000, WORK_MS)], 1_500);
     let starts = rig.starts();
-    assert_eq!(starts.len(), 1, "nothing beside it: {starts:?}");
+    assert_eq!(starts.len(), 1, "nothing runs beside it: {starts:?}");
     assert_eq!(&*starts[0].2.task, task(1));
-    assert_eq!(starts[0].2.attempt, 8, "above those that were counted");
+    assert_eq!(
+        starts[0].2.attempt, 8,
+        "numbered above the counted attempts"
+    );
 });
 
 /// Declares tests, each the hall of a peer, why calls to a lost target fail, and how often the
 /// peer is told of a crash.
-macro_rules! told_halls {
+macro_rules! crash_reports {
     ($($name:ident: $hall:literal, $failure:ident => $times:literal;)+) => {
-        $(case!($name, { assert_eq!(times_told($hall, SendFailure::$failure), $times); });)+
+        $(case!($name, { assert_eq!(crash_reports_sent($hall, SendFailure::$failure), $times); });)+
     };
 }
 
-told_halls! {
-    the_own_hall_is_told: "north", Refused => 1;
-    other_halls_are_not_told: "south", Refused => 0;
-    a_target_that_is_only_silent_makes_no_task_suspect: "north", Unknown => 0;
+crash_reports! {
+    peers_in_the_own_hall_are_informed: "north", Refused => 1;
+    peers_in_other_halls_are_not_informed: "south", Refused => 0;
+    a_silent_target_makes_no_task_suspect: "north", Unknown => 0;
 }
 
-fn times_told(hall: &str, failure: SendFailure) -> usize {
+fn crash_reports_sent(hall: &str, failure: SendFailure) -> usize {
     let mut rig = Rig::new();
     let mut peer = peer_info();
     peer.hall = hall.into();
@@ -310,14 +318,14 @@
     }
     rig.submit(1, &id(1), vec![step(1, 2_000, WORK_MS)], 8_000);
     rig.idle_targets_answer();
-    accept_one(&mut rig);
-    lose(&mut rig, failure);
-    let news = rig.requests(|request| matches!(request, Request::Crashes(_)));
-    news.len()
+    accept_start(&mut rig);
+    fail_all_calls(&mut rig, failure);
+    let reports = rig.requests(|request| matches!(request, Request::Crashes(_)));
+    reports.len()
 }
 
 /// Accepts the one start that was sent.
-fn accept_one(rig: &mut Rig) {
+fn accept_start(rig: &mut Rig) {
     let starts = rig.starts();
     assert_eq!(starts.len(), 1);
     let clock = rig.now + 500_000;
@@ -325,7 +333,7 @@
 }
 
 /// Has all calls to targets fail for longer than their leases last.
-fn lose(rig: &mut Rig, failure: SendFailure) {
+fn fail_all_calls(rig: &mut Rig, failure: SendFailure) {
     for _ in 0..80 {
         for called in std::mem::take(&mut rig.calls) {
             let call = called.call;
@@ -394,7 +402,7 @@
 }
 
 /// Answers the renewals of one target with a listing of one of its lives.
-fn lists(rig: &mut Rig, on: &str, life: u64, running: &[(AttemptId, u8)]) {
+fn answer_renewals(rig: &mut Rig, on: &str, incarnation: u64, running: &[(AttemptId, u8)]) {
     let calls = std::mem::take(&mut rig.calls);
     let (here, others): (Vec<_>, Vec<_>) = calls.into_iter().partition(|called| {
         called.target == on && matches!(called.order, TargetCall::Renew { .. })
@@ -408,7 +416,7 @@
         clock: rig.now + 500_000,
         running: running.collect(),
         ended: Vec::new(),
-        born: Some(Born(life)),
+        born: Some(Born(incarnation)),
         capacity: None,
     };
     for called in here {
@@ -426,18 +434,18 @@
     let targets: Vec<_> = (0..3).map(|at| target(&format!("t-{at}"), 16)).collect();
     let mut rig = Rig::holding_targets_with(settings, &targets);
     rig.submit(1, &id(1), vec![step(1, 2_000, 200)], 3_000);
-    for life in [1, 2] {
+    for incarnation in [1, 2] {
         for at in 0..3 {
-            lists(&mut rig, &format!("t-{at}"), life, &[]);
+            answer_renewals(&mut rig, &format!("t-{at}"), incarnation, &[]);
         }
         let (call, on, attempt) = rig.starts().pop().expect("a start");
         let clock = rig.now + 500_000;
         rig.target_reply(call, TargetReply::Accepted { clock });
         rig.pass(90);
-        lists(&mut rig, &on, life, &[(attempt, 64)]);
+        answer_renewals(&mut rig, &on, incarnation, &[(attempt, 64)]);
         // It is done some 50 ms later. The target crashes before it tells, and is back at once.
         rig.pass(300);
-        lists(&mut rig, &on, life + 10, &[]);
+        answer_renewals(&mut rig, &on, incarnation + 10, &[]);
         rig.pass(60);
     }
     rig.answer_to(1).cloned()
@@ -452,7 +460,7 @@
     }
 );
 
-case!(a_job_that_is_failed_by_ends_not_heard_is_found, {
+case!(without_the_safeguard_unreported_ends_fail_the_job, {
     let answer = done_just_before_each_crash(Safeguards {
         unheard_ends_are_reckoned: false,
         ..Safeguards::default()
@@ -469,7 +477,7 @@
 }
 
 earliest_ends! {
-    one_that_has_just_begun: 0, 200.0 => 100;
-    one_that_is_half_done: 50, 200.0 => 50;
-    one_that_is_done: 100, 200.0 => 0;
+    just_started: 0, 200.0 => 100;
+    half_done: 50, 200.0 => 50;
+    done: 100, 200.0 => 0;
 }
--- a/crates/dispatcher-core/tests/shrinking_capacity.rs
+++ b/crates/dispatcher-core/tests/shrinking_capacity.rs
@@ -12,20 +12,25 @@
 use gannetridge_dispatcher_core::{Event, TargetReply};
 use support::{case, ended, step, target, Rig};
 
-type Told = Option<Result<Resources, EntryFault>>;
+type ListedCapacity = Option<Result<Resources, EntryFault>>;
 
-fn cores(cores: u32) -> Told {
+fn cores(cores: u32) -> ListedCapacity {
     Some(Ok(target("near", cores).capacity))
 }
 
 /// The entry tells another capacity.
-fn entry(rig: &mut Rig, cores: u32) {
+fn change_entry(rig: &mut Rig, cores: u32) {
     let entry = target("near", cores);
     rig.event(Event::TargetsChanged(vec![TargetChange::There(entry)]));
 }
 
 /// Answers the renewals that were sent; returns how many.
-fn answer(rig: &mut Rig, capacity: &Told, running: &[AttemptId], ended: &[ListedEnd]) -> usize {
+fn answer_renewals(
+    rig: &mut Rig,
+    capacity: &ListedCapacity,
+    running: &[AttemptId],
+    ended: &[ListedEnd],
+) -> usize {
     let renewals = rig.renewals();
     for (call, _) in &renewals {
         let running = running.iter().map(|id| ListedAttempt {
@@ -45,13 +50,16 @@
 }
 
 /// Lets the target list what it has.
-fn list(rig: &mut Rig, capacity: &Told, running: &[AttemptId]) {
+fn list_capacity(rig: &mut Rig, capacity: &ListedCapacity, running: &[AttemptId]) {
     rig.pass(10);
-    assert!(answer(rig, capacity, running, &[]) > 0, "a renewal is due");
+    assert!(
+        answer_renewals(rig, capacity, running, &[]) > 0,
+        "a renewal is due"
+    );
 }
 
 /// A host that holds a target of 16 cores on which so many tasks of 4 cores run.
-fn running(tasks: u32) -> (Rig, Vec<AttemptId>) {
+fn holder_with_tasks(tasks: u32) -> (Rig, Vec<AttemptId>) {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let ids = submit(&mut rig, 1, tasks);
     assert_eq!(ids.len(), tasks as usize);
@@ -62,11 +70,11 @@
 fn submit(rig: &mut Rig, request_id: u64, tasks: u32) -> Vec<AttemptId> {
     let id = format!("{request_id:016x}");
     rig.submit(request_id, &id, vec![step(tasks, 4_000, 400)], 1_500);
-    started(rig)
+    accept_starts(rig)
 }
 
 /// Accepts the starts that were sent.
-fn started(rig: &mut Rig) -> Vec<AttemptId> {
+fn accept_starts(rig: &mut Rig) -> Vec<AttemptId> {
     let clock = rig.now + 500_000;
     let starts = rig.starts().into_iter().map(|(call, _, id)| {
         rig.target_reply(call, TargetReply::Accepted { clock });
@@ -75,88 +83,92 @@
     starts.collect()
 }
 
-case!(a_listing_holds_against_the_entry, {
-    let (mut rig, ids) = running(1);
-    list(&mut rig, &cores(8), &ids);
-    assert_eq!(submit(&mut rig, 2, 3).len(), 1, "of 8 cores 4 are in use");
+case!(a_listing_overrides_the_entry, {
+    let (mut rig, ids) = holder_with_tasks(1);
+    list_capacity(&mut rig, &cores(8), &ids);
+    assert_eq!(submit(&mut rig, 2, 3).len(), 1, "4 of 8 cores are in use");
 });
 
-case!(an_entry_that_changes_later_holds_against_the_listing, {
-    let (mut rig, ids) = running(1);
-    list(&mut rig, &cores(12), &ids);
-    entry(&mut rig, 4);
+case!(a_later_entry_overrides_the_listing, {
+    let (mut rig, ids) = holder_with_tasks(1);
+    list_capacity(&mut rig, &cores(12), &ids);
+    change_entry(&mut rig, 4);
     assert_eq!(submit(&mut rig, 2, 1), []);
 });
 
-case!(an_entry_that_is_as_it_was_tells_nothing, {
-    let (mut rig, ids) = running(1);
-    list(&mut rig, &cores(4), &ids);
-    entry(&mut rig, 16);
+case!(an_unchanged_entry_does_not_override_the_listing, {
+    let (mut rig, ids) = holder_with_tasks(1);
+    list_capacity(&mut rig, &cores(4), &ids);
+    change_entry(&mut rig, 16);
     assert_eq!(submit(&mut rig, 2, 1), []);
 });
 
 case!(an_entry_from_before_the_listing_allows_no_start, {
-    let (mut rig, ids) = running(1);
+    let (mut rig, ids) = holder_with_tasks(1);
     // The target said 12 and then 4; its entry of 12 comes late.
-    list(&mut rig, &cores(4), &ids);
-    entry(&mut rig, 12);
+    list_capacity(&mut rig, &cores(4), &ids);
+    change_entry(&mut rig, 12);
     assert_eq!(submit(&mut rig, 2, 1), []);
     // A listing that was asked for before the entry came tells nothing newer.
-    answer(&mut rig, &cores(4), &ids, &[]);
-    assert_eq!(started(&mut rig), []);
-    list(&mut rig, &cores(4), &ids);
-    assert_eq!(started(&mut rig), []);
+    answer_renewals(&mut rig, &cores(4), &ids, &[]);
+    assert_eq!(accept_starts(&mut rig), []);
+    list_capacity(&mut rig, &cores(4), &ids);
+    assert_eq!(accept_starts(&mut rig), []);
 });
 
-case!(growth_that_the_entry_tells_is_asked_for_at_once, {
+case!(growth_in_the_entry_is_confirmed_at_once, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.pass(3_000);
-    assert_eq!(answer(&mut rig, &cores(4), &[], &[]), 1);
+    assert_eq!(answer_renewals(&mut rig, &cores(4), &[], &[]), 1);
     rig.pass(100);
-    assert_eq!(rig.renewals().len(), 0, "an idle target is asked rarely");
-    entry(&mut rig, 8);
+    assert_eq!(rig.renewals().len(), 0, "an idle target is renewed rarely");
+    change_entry(&mut rig, 8);
     assert_eq!(submit(&mut rig, 2, 2).len(), 1);
-    assert_eq!(answer(&mut rig, &cores(8), &[], &[]), 1);
+    assert_eq!(answer_renewals(&mut rig, &cores(8), &[], &[]), 1);
     // That one was asked for as the entry came, and may have been made before.
-    list(&mut rig, &cores(8), &[]);
-    assert_eq!(started(&mut rig).len(), 1);
+    list_capacity(&mut rig, &cores(8), &[]);
+    assert_eq!(accept_starts(&mut rig).len(), 1);
 });
 
-case!(starts_on_their_way_count_while_it_shrinks, {
+case!(starts_in_flight_count_while_capacity_shrinks, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, "0000000000000001", vec![step(4, 4_000, 400)], 1_500);
-    let on_their_way = rig.starts();
-    assert_eq!(on_their_way.len(), 4);
-    entry(&mut rig, 12);
-    let ids: Vec<AttemptId> = on_their_way.iter().map(|start| start.2.clone()).collect();
-    list(&mut rig, &cores(12), &ids[..1]);
+    let in_flight = rig.starts();
+    assert_eq!(in_flight.len(), 4);
+    change_entry(&mut rig, 12);
+    let ids: Vec<AttemptId> = in_flight.iter().map(|start| start.2.clone()).collect();
+    list_capacity(&mut rig, &cores(12), &ids[..1]);
     let end = [ended(1, &ids[0], ListedOutcome::Done)];
     rig.pass(10);
-    answer(&mut rig, &cores(12), &ids[1..], &end);
+    answer_renewals(&mut rig, &cores(12), &ids[1..], &end);
     assert_eq!(submit(&mut rig, 2, 1), [], "three of 4 cores fill 12");
 });
 
-case!(below_what_runs_nothing_starts_and_nothing_stops, {
-    let (mut rig, ids) = running(4);
-    list(&mut rig, &cores(5), &ids);
+case!(a_capacity_below_use_starts_and_stops_nothing, {
+    let (mut rig, ids) = holder_with_tasks(4);
+    list_capacity(&mut rig, &cores(5), &ids);
     assert_eq!(submit(&mut rig, 2, 1), []);
     let end = [ended(1, &ids[0], ListedOutcome::Done)];
     rig.pass(10);
-    answer(&mut rig, &cores(5), &ids[1..], &end);
-    assert_eq!(started(&mut rig), [], "12 cores are in use of 5");
+    answer_renewals(&mut rig, &cores(5), &ids[1..], &end);
+    assert_eq!(
+        accept_starts(&mut rig),
+        [],
+        "12 cores are in use, of a capacity of 5"
+    );
     assert_eq!(rig.stops(), []);
     rig.pass(10);
     let ends: Vec<ListedEnd> = (1..4)
         .map(|at| ended(1 + at as u64, &ids[at], ListedOutcome::Done))
         .collect();
-    answer(&mut rig, &cores(5), &[], &ends);
-    assert_eq!(started(&mut rig).len(), 1);
-    assert!(rig.answer_to(1).is_some(), "what ran went on to its end");
+    answer_renewals(&mut rig, &cores(5), &[], &ends);
+    assert_eq!(accept_starts(&mut rig).len(), 1);
+    assert!(rig.answer_to(1).is_some(), "running attempts completed");
 });
 
-case!(what_is_being_stopped_counts, {
-    let (mut rig, ids) = running(2);
-    list(&mut rig, &cores(8), &ids);
+case!(attempts_being_stopped_count, {
+    let (mut rig, ids) = holder_with_tasks(2);
+    list_capacity(&mut rig, &cores(8), &ids);
     rig.event(Event::CallerGone {
         request_id: gannetridge_dispatcher_core::RequestId(1),
     });
@@ -164,44 +176,49 @@
     assert_eq!(submit(&mut rig, 2, 1), []);
     rig.pass(10);
     let ends = [1, 2].map(|at| ended(at as u64, &ids[at - 1], ListedOutcome::Ended));
-    answer(&mut rig, &cores(8), &[], &ends);
-    assert_eq!(started(&mut rig).len(), 1);
+    answer_renewals(&mut rig, &cores(8), &[], &ends);
+    assert_eq!(accept_starts(&mut rig).len(), 1);
 });
 
-case!(to_nothing_and_back, {
-    let (mut rig, ids) = running(1);
-    list(&mut rig, &cores(0), &ids);
+case!(a_capacity_may_shrink_to_zero_and_return, {
+    let (mut rig, ids) = holder_with_tasks(1);
+    list_capacity(&mut rig, &cores(0), &ids);
     assert_eq!(submit(&mut rig, 2, 1), []);
     rig.pass(100);
     assert_eq!(rig.stops(), []);
-    list(&mut rig, &cores(16), &ids);
-    assert_eq!(started(&mut rig).len(), 1);
+    list_capacity(&mut rig, &cores(16), &ids);
+    assert_eq!(accept_starts(&mut rig).len(), 1);
 });
 
 case!(a_capacity_that_cannot_be_read_changes_nothing, {
-    let (mut rig, ids) = running(1);
-    list(&mut rig, &cores(8), &ids);
-    list(&mut rig, &Some(Err(EntryFault::Fields)), &ids);
-    assert_eq!(submit(&mut rig, 2, 3).len(), 1, "8 cores still hold");
+    let (mut rig, ids) = holder_with_tasks(1);
+    list_capacity(&mut rig, &cores(8), &ids);
+    list_capacity(&mut rig, &Some(Err(EntryFault::Fields)), &ids);
+    assert_eq!(
+        submit(&mut rig, 2, 3).len(),
+        1,
+        "the capacity is still 8 cores"
+    );
 });
 
-case!(
-    a_listing_that_no_longer_tells_leaves_a_later_entry_in_force,
-    {
-        let (mut rig, ids) = running(1);
-        list(&mut rig, &cores(4), &ids);
-        list(&mut rig, &None, &ids);
-        assert_eq!(submit(&mut rig, 2, 1), [], "what was told last holds");
-        entry(&mut rig, 8);
-        list(&mut rig, &None, &ids);
-        list(&mut rig, &None, &ids);
-        assert_eq!(started(&mut rig).len(), 1);
-    }
-);
+case!(a_listing_without_capacity_leaves_a_later_entry_in_force, {
+    let (mut rig, ids) = holder_with_tasks(1);
+    list_capacity(&mut rig, &cores(4), &ids);
+    list_capacity(&mut rig, &None, &ids);
+    assert_eq!(
+        submit(&mut rig, 2, 1),
+        [],
+        "the last listed capacity is in force"
+    );
+    change_entry(&mut rig, 8);
+    list_capacity(&mut rig, &None, &ids);
+    list_capacity(&mut rig, &None, &ids);
+    assert_eq!(accept_starts(&mut rig).len(), 1);
+});
 
-case!(another_life_begins_with_its_entry, {
-    let (mut rig, ids) = running(1);
-    list(&mut rig, &cores(4), &ids);
+case!(a_new_incarnation_starts_with_its_entry, {
+    let (mut rig, ids) = holder_with_tasks(1);
+    list_capacity(&mut rig, &cores(4), &ids);
     rig.pass(10);
     for (call, _) in rig.renewals() {
         let reply = TargetReply::Listing {
@@ -220,11 +237,11 @@
     assert_eq!(
         submit(&mut rig, 2, 4).len(),
         4,
-        "of 16 cores none is in use"
+        "none of 16 cores is in use"
     );
 });
 
-case!(what_is_left_is_never_below_nothing, {
+case!(remaining_resources_are_never_negative, {
     let has = Resources {
         cpu: 4_000,
         memory_mb: 10,
--- a/crates/dispatcher-core/tests/suspended.rs
+++ b/crates/dispatcher-core/tests/suspended.rs
@@ -20,22 +20,22 @@
 /// A little longer than half of an owner lease.
 const SHORT_GAP_MS: Millis = 300;
 /// How long a start is waited for at least; see `rules/congestion.rs`.
-const LEAST_START_WAIT_MS: Millis = 40;
+const MIN_START_WAIT_MS: Millis = 40;
 /// By how much targets' clocks are ahead of the test's.
-const AHEAD_MS: Millis = 500_000;
+const CLOCK_OFFSET_MS: Millis = 500_000;
 
 /// A host whose clock is the one that processes have, on a system that a test suspends.
-struct Suspended {
+struct SuspendedHost {
     rig: Rig,
     clock: Clock,
     since_boot: Arc<AtomicU64>,
     steady: Arc<AtomicU64>,
 }
 
-impl Suspended {
+impl SuspendedHost {
     /// Runs a host on a clock that is made of the system's time since boot and its steady
     /// clock.
-    fn host(clock: impl Fn(Arc<AtomicU64>, Arc<AtomicU64>) -> Clock) -> Self {
+    fn new(clock: impl Fn(Arc<AtomicU64>, Arc<AtomicU64>) -> Clock) -> Self {
         let rig = Rig::holding_targets(&[target("near", 16)]);
         let [since_boot, steady] = [(); 2].map(|()| Arc::new(AtomicU64::new(rig.now)));
         Self {
@@ -64,7 +64,7 @@
     }
 }
 
-fn read(clock: Arc<AtomicU64>) -> impl Fn() -> Duration {
+fn clock_reader(clock: Arc<AtomicU64>) -> impl Fn() -> Duration {
     move || Duration::from_millis(clock.load(Ordering::Relaxed))
 }
 
@@ -83,7 +83,7 @@
 }
 
 /// A host that knows a peer with free resources, and no target of its own.
-fn with_peer() -> Rig {
+fn host_with_peer() -> Rig {
     let mut rig = Rig::new();
     rig.event(Event::HostsRead(vec![peer_info()]));
     rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
@@ -102,32 +102,42 @@
     matches!(request, Request::Place(_))
 }
 
-case!(an_open_start_is_over_and_nothing_is_started_or_renewed, {
-    let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.submit(1, "0000000000000001", vec![step(1, 7_000, 300)], 20_000);
-    let (call, _, _) = rig.starts().remove(0);
-    let clock = rig.now + AHEAD_MS;
-    rig.renewals();
-    rig.now += GAP_MS;
-    // The reply came before the host stood still.
-    rig.target_reply(call, TargetReply::Accepted { clock });
-    assert_eq!(rig.host.counts(rig.now).attempts, 0, "its lease is over");
-    assert_eq!(rig.starts(), [], "the target wasn't heard since");
-    let renewals = rig.renewals();
-    assert_eq!(renewals.len(), 1);
-    assert_eq!(renewals[0].1, None, "it asks for news and renews nothing");
-});
+case!(
+    an_unanswered_start_ends_and_nothing_is_started_or_renewed,
+    {
+        let mut rig = Rig::holding_targets(&[target("near", 16)]);
+        rig.submit(1, "0000000000000001", vec![step(1, 7_000, 300)], 20_000);
+        let (call, _, _) = rig.starts().remove(0);
+        let clock = rig.now + CLOCK_OFFSET_MS;
+        rig.renewals();
+        rig.now += GAP_MS;
+        // The reply came before the host stood still.
+        rig.target_reply(call, TargetReply::Accepted { clock });
+        assert_eq!(
+            rig.host.counts(rig.now).attempts,
+            0,
+            "its lease has expired"
+        );
+        assert_eq!(rig.starts(), [], "the target has not replied since");
+        let renewals = rig.renewals();
+        assert_eq!(renewals.len(), 1);
+        assert_eq!(
+            renewals[0].1, None,
+            "it requests a listing and renews nothing"
+        );
+    }
+);
 
-case!(a_listing_from_before_renews_nothing, {
+case!(a_listing_from_before_the_suspension_renews_nothing, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, "0000000000000001", vec![step(1, 7_000, 300)], 20_000);
     let (call, _, id) = rig.starts().remove(0);
-    let clock = rig.now + AHEAD_MS;
+    let clock = rig.now + CLOCK_OFFSET_MS;
     rig.target_reply(call, TargetReply::Accepted { clock });
     rig.pass(10);
     let (call, _) = rig.renewals().remove(0);
     let reply = TargetReply::Listing {
-        clock: rig.now + AHEAD_MS,
+        clock: rig.now + CLOCK_OFFSET_MS,
         running: Vec::new(),
         ended: Vec::new(),
         born: None,
@@ -135,7 +145,7 @@
     };
     rig.now += GAP_MS;
     rig.target_reply(call, reply);
-    assert_eq!(rig.host.counts(rig.now).attempts, 0, "{id:?} is over");
+    assert_eq!(rig.host.counts(rig.now).attempts, 0, "{id:?} has ended");
     assert_eq!(rig.starts(), []);
     assert!(rig.renewals().iter().all(|(_, until)| until.is_none()));
 });
@@ -145,7 +155,7 @@
     let first = order("00000000000000aa.0.0.0", 900);
     rig.peer_asks(1, Request::Place(vec![first.clone()]));
     let (call, _, _) = rig.starts().remove(0);
-    let clock = rig.now + AHEAD_MS;
+    let clock = rig.now + CLOCK_OFFSET_MS;
     rig.target_reply(call, TargetReply::Accepted { clock });
     let envelope = queued_place(rig.now);
     rig.now += GAP_MS;
@@ -159,83 +169,104 @@
     assert_eq!(rig.host.counts(rig.now).attempts, 0);
 });
 
-case!(a_peers_reply_from_before_does_not_count_as_heard_now, {
-    let mut rig = with_peer();
-    rig.pass(200);
-    let heartbeats = rig.requests(is_heartbeat);
-    let body = ReplyBody::Heartbeat(HeartbeatReply {
-        leaving: false,
-        version: 1,
-        leased: vec!["far".into()],
-        hosts: Vec::new(),
-    });
-    let reply = rig.reply(body, 16_000);
-    rig.now += GAP_MS;
-    let call = heartbeats[0].0;
-    let reply = Ok(reply);
-    rig.event(Event::PeerReply { call, reply });
-    rig.submit(1, "0000000000000001", vec![step(1, 7_000, 300)], 20_000);
-    assert!(rig.requests(is_place).is_empty(), "it may be gone by now");
-    rig.answer_heartbeats(16_000);
-    assert_eq!(rig.requests(is_place).len(), 1, "it was heard since");
-});
+case!(
+    a_reply_from_before_the_suspension_does_not_show_a_peer_reachable,
+    {
+        let mut rig = host_with_peer();
+        rig.pass(200);
+        let heartbeats = rig.requests(is_heartbeat);
+        let body = ReplyBody::Heartbeat(HeartbeatReply {
+            leaving: false,
+            version: 1,
+            leased: vec!["far".into()],
+            hosts: Vec::new(),
+        });
+        let reply = rig.reply(body, 16_000);
+        rig.now += GAP_MS;
+        let call = heartbeats[0].0;
+        let reply = Ok(reply);
+        rig.event(Event::PeerReply { call, reply });
+        rig.submit(1, "0000000000000001", vec![step(1, 7_000, 300)], 20_000);
+        assert!(
+            rig.requests(is_place).is_empty(),
+            "the peer may have stopped"
+        );
+        rig.answer_heartbeats(16_000);
+        assert_eq!(
+            rig.requests(is_place).len(),
+            1,
+            "the peer has replied since"
+        );
+    }
+);
 
-case!(what_a_peer_said_to_a_request_before_still_counts, {
-    let mut rig = with_peer();
-    rig.submit(1, "0000000000000001", vec![step(1, 7_000, 900)], 20_000);
-    let (call, _) = rig.requests(is_place).remove(0);
-    // It has not started the task, so that this may be tried elsewhere.
-    let reply = rig.reply(ReplyBody::Placed(Vec::new()), 16_000);
-    rig.now += GAP_MS;
-    let reply = Ok(reply);
-    rig.event(Event::PeerReply { call, reply });
-    assert!(rig.requests(is_place).is_empty());
-    rig.answer_heartbeats(16_000);
-    assert_eq!(rig.requests(is_place).len(), 1);
-});
+case!(
+    a_reply_to_a_request_from_before_the_suspension_is_applied,
+    {
+        let mut rig = host_with_peer();
+        rig.submit(1, "0000000000000001", vec![step(1, 7_000, 900)], 20_000);
+        let (call, _) = rig.requests(is_place).remove(0);
+        // It has not started the task, so that this may be tried elsewhere.
+        let reply = rig.reply(ReplyBody::Placed(Vec::new()), 16_000);
+        rig.now += GAP_MS;
+        let reply = Ok(reply);
+        rig.event(Event::PeerReply { call, reply });
+        assert!(rig.requests(is_place).is_empty());
+        rig.answer_heartbeats(16_000);
+        assert_eq!(rig.requests(is_place).len(), 1);
+    }
+);
 
-case!(a_suspended_host_takes_its_leases_for_over, {
-    let host =
-        Suspended::host(|since_boot, steady| Clock::with_sources(read(since_boot), read(steady)));
+case!(a_suspended_host_takes_its_leases_as_expired, {
+    let host = SuspendedHost::new(|since_boot, steady| {
+        Clock::with_sources(clock_reader(since_boot), clock_reader(steady))
+    });
     assert_eq!(host.attempts_after_suspension(), 0);
 });
 
-case!(a_host_that_reckons_by_the_steady_clock_is_found, {
-    let host = Suspended::host(|_, steady| {
-        let mutant = read(steady.clone());
-        Clock::with_sources(mutant, read(steady))
+case!(a_host_on_the_steady_clock_misses_the_suspension, {
+    let host = SuspendedHost::new(|_, steady| {
+        let mutant = clock_reader(steady.clone());
+        Clock::with_sources(mutant, clock_reader(steady))
     });
-    assert_ne!(host.attempts_after_suspension(), 0, "nobody missed the gap");
+    assert_ne!(
+        host.attempts_after_suspension(),
+        0,
+        "the gap is not noticed"
+    );
 });
 
-case!(a_reply_from_before_does_not_show_how_long_replies_take, {
-    let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    // Quick replies: starts are waited for as briefly as they ever are.
-    for number in 0..200 {
-        let id = format!("{number:016x}");
-        rig.submit(number, &id, vec![step(1, 1_000, 20)], 20_000);
-        let (call, _, id) = rig.starts().remove(0);
-        let clock = rig.now + AHEAD_MS;
-        rig.target_reply(call, TargetReply::Accepted { clock });
-        rig.pass(10);
+case!(
+    a_reply_from_before_the_suspension_does_not_count_as_a_reply_time,
+    {
+        let mut rig = Rig::holding_targets(&[target("near", 16)]);
+        // Quick replies: starts are waited for as briefly as they ever are.
+        for number in 0..200 {
+            let id = format!("{number:016x}");
+            rig.submit(number, &id, vec![step(1, 1_000, 20)], 20_000);
+            let (call, _, id) = rig.starts().remove(0);
+            let clock = rig.now + CLOCK_OFFSET_MS;
+            rig.target_reply(call, TargetReply::Accepted { clock });
+            rig.pass(10);
+            for (call, _) in rig.renewals() {
+                rig.listing(call, &[], &[ended(number + 1, &id, ListedOutcome::Done)]);
+            }
+        }
+        rig.submit(900, "0000000000000900", vec![step(1, 1_000, 300)], 20_000);
+        let started = rig.starts().remove(0);
+        let clock = rig.now + CLOCK_OFFSET_MS;
+        // Short enough for its lease.
+        rig.now += SHORT_GAP_MS;
+        rig.target_reply(started.0, TargetReply::Accepted { clock });
         for (call, _) in rig.renewals() {
-            rig.listing(call, &[], &[ended(number + 1, &id, ListedOutcome::Done)]);
+            rig.listing(call, &[], &[]);
         }
+        rig.starts();
+        rig.submit(901, "0000000000000901", vec![step(1, 1_000, 300)], 20_000);
+        let next = rig
+            .calls
+            .iter()
+            .find(|called| matches!(called.order, TargetCall::Start(_)));
+        assert_eq!(next.expect("a start").wait_ms, MIN_START_WAIT_MS);
     }
-    rig.submit(900, "0000000000000900", vec![step(1, 1_000, 300)], 20_000);
-    let started = rig.starts().remove(0);
-    let clock = rig.now + AHEAD_MS;
-    // Short enough for its lease.
-    rig.now += SHORT_GAP_MS;
-    rig.target_reply(started.0, TargetReply::Accepted { clock });
-    for (call, _) in rig.renewals() {
-        rig.listing(call, &[], &[]);
-    }
-    rig.starts();
-    rig.submit(901, "0000000000000901", vec![step(1, 1_000, 300)], 20_000);
-    let next = rig
-        .calls
-        .iter()
-        .find(|called| matches!(called.order, TargetCall::Start(_)));
-    assert_eq!(next.expect("a start").wait_ms, LEAST_START_WAIT_MS);
-});
+);
--- a/crates/dispatcher-core/tests/target_leases.rs
+++ b/crates/dispatcher-core/tests/target_leases.rs
@@ -9,92 +9,95 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-fn started(rig: &mut Rig, id: &str) -> gannetridge_dispatcher_core::message::AttemptId {
+fn submit_and_accept(rig: &mut Rig, id: &str) -> gannetridge_dispatcher_core::message::AttemptId {
     rig.submit(1, id, vec![step(1, 7_000, 300)], 3_000);
-    let (call, _, key) = rig.starts().remove(0);
+    let (call, _, id) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
     rig.target_reply(call, TargetReply::Accepted { clock });
-    key
+    id
 }
 
-case!(
-    a_newcomer_starts_nothing_beside_runs_that_it_does_not_know,
-    {
-        let mut rig = Rig::new();
-        rig.event(Event::TargetsRead(vec![target("near", 16)].into()));
-        rig.pass(1_000);
-        let (call, until) = rig.renewals().remove(0);
-        assert_eq!(until, None, "no owner is known of what it finds");
-        let unknown = gannetridge_dispatcher_core::message::AttemptId {
-            task: "00000000000000aa.0.0.0".into(),
-            attempt: 1,
-        };
-        rig.listing(call, std::slice::from_ref(&unknown), &[]);
-        rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
-        assert!(rig.starts().is_empty());
-        rig.pass(50);
-        let (call, until) = rig.renewals().remove(0);
-        assert_eq!(until, None);
-        rig.listing(call, &[], &[ended(1, &unknown, ListedOutcome::Ended)]);
-        assert_eq!(rig.starts().len(), 1);
-    }
-);
+case!(a_new_holder_starts_nothing_beside_unknown_attempts, {
+    let mut rig = Rig::new();
+    rig.event(Event::TargetsRead(vec![target("near", 16)].into()));
+    rig.pass(1_000);
+    let (call, until) = rig.renewals().remove(0);
+    assert_eq!(until, None, "the owners of the attempts there are unknown");
+    let unknown = gannetridge_dispatcher_core::message::AttemptId {
+        task: "00000000000000aa.0.0.0".into(),
+        attempt: 1,
+    };
+    rig.listing(call, std::slice::from_ref(&unknown), &[]);
+    rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
+    assert!(rig.starts().is_empty());
+    rig.pass(50);
+    let (call, until) = rig.renewals().remove(0);
+    assert_eq!(until, None);
+    rig.listing(call, &[], &[ended(1, &unknown, ListedOutcome::Ended)]);
+    assert_eq!(rig.starts().len(), 1);
+});
 
-case!(a_listing_asked_for_before_a_start_says_nothing_of_it, {
+case!(a_listing_requested_before_a_start_does_not_end_it, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    let key = started(&mut rig, ID);
+    let id = submit_and_accept(&mut rig, ID);
     // Asked for in the same millisecond in which the start was taken.
     let (call, _) = rig.renewals().remove(0);
     rig.now += 1;
     rig.listing(call, &[], &[]);
-    assert!(rig.starts().is_empty(), "the run isn't over");
+    assert!(rig.starts().is_empty(), "the attempt has not ended");
     let (call, _) = rig.renewals().remove(0);
     rig.now += 50;
-    rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Done)]);
+    rig.listing(call, &[], &[ended(1, &id, ListedOutcome::Done)]);
     assert!(rig.answer_to(1).is_some());
 });
 
-case!(a_target_taken_back_is_not_renewed_before_it_is_known, {
-    let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.pass(3_100);
-    for (call, _) in rig.renewals() {
-        rig.listing(call, &[], &[]);
+case!(
+    a_target_taken_back_is_not_renewed_before_it_lists_its_attempts,
+    {
+        let mut rig = Rig::holding_targets(&[target("near", 16)]);
+        rig.pass(3_100);
+        for (call, _) in rig.renewals() {
+            rig.listing(call, &[], &[]);
+        }
+        let id = submit_and_accept(&mut rig, ID);
+        let (old, _) = rig.renewals().remove(0);
+        let clock = rig.now + 500_000;
+        rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 300)], 3_000);
+        let (start, _, _) = rig.starts().remove(0);
+        rig.target_reply(start, TargetReply::StaleToken { clock });
+        let (reacquisition, until) = rig.renewals().remove(0);
+        assert_eq!(until, None, "another host may have started attempts there");
+        // A listing from before the other host took it tells nothing.
+        rig.listing(old, std::slice::from_ref(&id), &[]);
+        let other = gannetridge_dispatcher_core::message::AttemptId {
+            task: "00000000000000aa.0.0.0".into(),
+            attempt: 1,
+        };
+        rig.submit(3, "00000000000000cc", vec![step(1, 7_000, 300)], 3_000);
+        assert!(rig.starts().is_empty());
+        rig.listing(reacquisition, &[id.clone(), other], &[]);
+        assert!(rig.starts().is_empty(), "the other attempt still runs");
     }
-    let key = started(&mut rig, ID);
-    let (old, _) = rig.renewals().remove(0);
-    let clock = rig.now + 500_000;
-    rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 300)], 3_000);
-    let (start, _, _) = rig.starts().remove(0);
-    rig.target_reply(start, TargetReply::StaleToken { clock });
-    let (taking, until) = rig.renewals().remove(0);
-    assert_eq!(until, None, "another may have started something there");
-    // A listing from before the other host took it tells nothing.
-    rig.listing(old, std::slice::from_ref(&key), &[]);
-    let other = gannetridge_dispatcher_core::message::AttemptId {
-        task: "00000000000000aa.0.0.0".into(),
-        attempt: 1,
-    };
-    rig.submit(3, "00000000000000cc", vec![step(1, 7_000, 300)], 3_000);
-    assert!(rig.starts().is_empty());
-    rig.listing(taking, &[key.clone(), other], &[]);
-    assert!(rig.starts().is_empty(), "the other's run goes on");
-});
+);
 
 case!(
-    a_start_without_reply_is_stopped_and_tried_elsewhere_once_over,
+    a_start_without_reply_is_stopped_and_retried_elsewhere_once_ended,
     {
         let mut rig = Rig::holding_targets(&[target("one", 16), target("two", 16)]);
         rig.pass_earlier_leases();
         rig.submit(1, ID, vec![step(1, 7_000, 600)], 4_000);
         rig.idle_targets_answer();
-        let (call, first, key) = rig.starts().remove(0);
+        let (call, first, id) = rig.starts().remove(0);
         rig.pass(200);
         rig.event(Event::TargetReply {
             call,
             reply: Err(SendFailure::Unknown),
         });
-        assert!(rig.starts().is_empty(), "it may have begun");
-        assert_eq!(rig.stops(), vec![key]);
+        assert!(
+            rig.starts().is_empty(),
+            "the start may have been carried out"
+        );
+        assert_eq!(rig.stops(), vec![id]);
         rig.pass(800);
         for (call, _) in rig.renewals() {
             rig.listing(call, &[], &[]);
@@ -104,12 +107,12 @@
         let starts = rig.starts();
         assert!(starts
             .iter()
-            .all(|(_, target, key)| *target != first && key.attempt == 2));
+            .all(|(_, target, id)| *target != first && id.attempt == 2));
         assert_eq!(starts.len(), 1);
     }
 );
 
-case!(a_leaving_target_gets_no_new_work, {
+case!(a_leaving_target_gets_no_new_tasks, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let mut leaving = target("near", 16);
     leaving.leaving = true;
@@ -119,13 +122,13 @@
     assert!(rig.starts().is_empty());
 });
 
-case!(a_target_that_fails_all_is_left_alone, {
+case!(a_target_that_fails_all_tasks_gets_no_more, {
     let mut rig = Rig::holding_targets(&[target("one", 24), target("two", 16)]);
     // Two failures in a row on one target, of different jobs.
     let mut bad = String::new();
     for (number, id) in ["00000000000000a1", "00000000000000a2"].iter().enumerate() {
         rig.submit(number as u64, id, vec![step(1, 4_000, 300)], 3_000);
-        let (call, on, key) = rig.starts().remove(0);
+        let (call, on, id) = rig.starts().remove(0);
         bad = on;
         let clock = rig.now + 500_000;
         rig.target_reply(call, TargetReply::Accepted { clock });
@@ -133,7 +136,7 @@
         let targets: Vec<_> = rig.calls.drain(..).collect();
         for called in targets {
             let ends = if called.target == bad {
-                vec![ended(number as u64 + 1, &key, ListedOutcome::Failed)]
+                vec![ended(number as u64 + 1, &id, ListedOutcome::Failed)]
             } else {
                 Vec::new()
             };
@@ -153,27 +156,30 @@
     assert_eq!(starts.len(), 1);
 });
 
-case!(targets_whose_entries_lapse_with_the_store_are_used_on, {
-    let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.event(Event::StoreReachable(false));
-    rig.pass(1_000);
-    rig.event(Event::StoreReachable(true));
-    rig.event(Event::TargetsRead(Vec::new().into()));
-    rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
-    rig.idle_targets_answer();
-    assert_eq!(rig.starts().len(), 1);
-    rig.pass(2_100);
-    rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 60)], 3_000);
-    rig.idle_targets_answer();
-    assert!(
-        rig.starts().is_empty(),
-        "gone, two seconds after the return"
-    );
-});
+case!(
+    targets_unlisted_after_an_outage_are_used_until_the_list_settles,
+    {
+        let mut rig = Rig::holding_targets(&[target("near", 16)]);
+        rig.event(Event::StoreReachable(false));
+        rig.pass(1_000);
+        rig.event(Event::StoreReachable(true));
+        rig.event(Event::TargetsRead(Vec::new().into()));
+        rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
+        rig.idle_targets_answer();
+        assert_eq!(rig.starts().len(), 1);
+        rig.pass(2_100);
+        rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 60)], 3_000);
+        rig.idle_targets_answer();
+        assert!(
+            rig.starts().is_empty(),
+            "removed two seconds after the store returned"
+        );
+    }
+);
 
-case!(one_lost_answer_does_not_close_a_target, {
+case!(one_lost_reply_does_not_make_a_target_unusable, {
     let mut rig = Rig::holding_targets(&[target("near", 24)]);
-    started(&mut rig, ID);
+    submit_and_accept(&mut rig, ID);
     let (call, _) = rig.renewals().remove(0);
     rig.pass(250);
     rig.event(Event::TargetReply {
@@ -188,10 +194,13 @@
         reply: Err(SendFailure::Unknown),
     });
     rig.submit(3, "00000000000000cc", vec![step(1, 7_000, 300)], 3_000);
-    assert!(rig.starts().is_empty(), "two on end are silence");
+    assert!(
+        rig.starts().is_empty(),
+        "two lost replies in a row are silence"
+    );
 });
 
-case!(attempts_on_a_silent_target_are_over_with_its_lease, {
+case!(attempts_on_a_silent_target_end_with_its_lease, {
     let mut rig = Rig::holding_targets(&[target("one", 16), target("two", 16)]);
     rig.pass_earlier_leases();
     rig.submit(1, ID, vec![step(1, 7_000, 600)], 4_000);
@@ -199,9 +208,9 @@
     let (call, silent, _) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
     rig.target_reply(call, TargetReply::Accepted { clock });
-    let fell_silent = rig.now;
+    let silent_since = rig.now;
     let mut restarted = None;
-    while restarted.is_none() && rig.now < fell_silent + 3_000 {
+    while restarted.is_none() && rig.now < silent_since + 3_000 {
         rig.pass(50);
         // Twice: a start waits for the idle target to be heard.
         for _ in 0..2 {
@@ -219,7 +228,7 @@
     }
     assert_eq!(restarted.as_deref(), Some("two"));
     // Before renewals of silent targets stopped extending the lease: not within 3,000 ms.
-    let waited = rig.now - fell_silent;
+    let waited = rig.now - silent_since;
     assert_eq!(
         waited, 650,
         "one miss, after which no renewal extends the lease, and what was left of it"
@@ -227,7 +236,7 @@
 });
 
 /// Submits a job of one short task; returns how many starts it led to.
-fn starts_of(rig: &mut Rig, number: u64) -> usize {
+fn count_starts(rig: &mut Rig, number: u64) -> usize {
     rig.submit(
         number,
         &format!("{number:016x}"),
@@ -238,27 +247,24 @@
     rig.starts().len()
 }
 
-case!(
-    a_target_that_never_says_it_leaves_gets_no_work_without_its_entry,
-    {
-        let mut rig = Rig::holding_targets(&[target("near", 16)]);
-        // It serves on, and answers, though its entry went without a word.
-        rig.event(Event::TargetsChanged(vec![TargetChange::Gone(
-            "near".into(),
-        )]));
-        assert_eq!(starts_of(&mut rig, 1), 0);
-        let back = TargetChange::There(target("near", 16));
-        rig.event(Event::TargetsChanged(vec![back]));
-        rig.pass(600);
-        for (call, _) in rig.renewals() {
-            rig.listing(call, &[], &[]);
-        }
-        assert_eq!(rig.starts().len(), 1, "its entry is back");
+case!(an_unlisted_target_gets_no_tasks, {
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
+    // It serves on, and answers, though its entry went without a word.
+    rig.event(Event::TargetsChanged(vec![TargetChange::Gone(
+        "near".into(),
+    )]));
+    assert_eq!(count_starts(&mut rig, 1), 0);
+    let back = TargetChange::There(target("near", 16));
+    rig.event(Event::TargetsChanged(vec![back]));
+    rig.pass(600);
+    for (call, _) in rig.renewals() {
+        rig.listing(call, &[], &[]);
     }
-);
+    assert_eq!(rig.starts().len(), 1, "its entry is back");
+});
 
 case!(
-    an_entry_that_is_back_two_seconds_after_the_store_stays_in_use,
+    an_entry_restored_within_two_seconds_of_an_outage_stays_in_use,
     {
         let mut rig = Rig::holding_targets(&[target("near", 16)]);
         rig.event(Event::StoreReachable(false));
@@ -269,29 +275,26 @@
         let back = TargetChange::There(target("near", 16));
         rig.event(Event::TargetsChanged(vec![back]));
         rig.pass(500);
-        assert_eq!(starts_of(&mut rig, 1), 1);
+        assert_eq!(count_starts(&mut rig, 1), 1);
     }
 );
 
-case!(
-    a_target_that_serves_on_long_after_it_said_it_leaves_gets_no_work,
-    {
-        let mut rig = Rig::holding_targets(&[target("near", 16)]);
-        let mut leaving = target("near", 16);
-        leaving.leaving = true;
-        rig.event(Event::TargetsChanged(vec![TargetChange::There(leaving)]));
-        for number in 1..=10 {
-            rig.pass(1_000);
-            for (call, _) in rig.renewals() {
-                rig.listing(call, &[], &[]);
-            }
-            assert_eq!(starts_of(&mut rig, number), 0);
+case!(a_leaving_target_that_keeps_answering_gets_no_tasks, {
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
+    let mut leaving = target("near", 16);
+    leaving.leaving = true;
+    rig.event(Event::TargetsChanged(vec![TargetChange::There(leaving)]));
+    for number in 1..=10 {
+        rig.pass(1_000);
+        for (call, _) in rig.renewals() {
+            rig.listing(call, &[], &[]);
         }
+        assert_eq!(count_starts(&mut rig, number), 0);
     }
-);
+});
 
 /// Lists one attempt as running with its progress, at a time of the target's clock.
-fn progress(rig: &mut Rig, id: &AttemptId, percent: u8, clock: Millis) {
+fn report_progress(rig: &mut Rig, id: &AttemptId, percent: u8, clock: Millis) {
     for (call, _) in rig.renewals() {
         let reply = TargetReply::Listing {
             clock,
@@ -309,7 +312,7 @@
 }
 
 /// A host with two targets, a task that runs on one of them, and the clock of its start.
-fn running(estimate_ms: Millis) -> (Rig, AttemptId, Millis) {
+fn running_task(estimate_ms: Millis) -> (Rig, AttemptId, Millis) {
     let mut rig = Rig::holding_targets(&[target("one", 16), target("two", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, estimate_ms)], 3_000);
     let (call, _, id) = rig.starts().remove(0);
@@ -319,34 +322,34 @@
     (rig, id, clock)
 }
 
-case!(an_attempt_that_stands_still_is_tried_elsewhere, {
+case!(a_stalled_attempt_is_stopped, {
     // Before, it was given up after 950 ms: four times its estimate and 150 ms.
-    let (mut rig, id, clock) = running(200);
-    progress(&mut rig, &id, 0, clock + 90);
-    assert!(rig.stops().is_empty(), "it may just have begun");
-    progress(&mut rig, &id, 0, clock + 110);
+    let (mut rig, id, clock) = running_task(200);
+    report_progress(&mut rig, &id, 0, clock + 90);
+    assert!(rig.stops().is_empty(), "it may just have started");
+    report_progress(&mut rig, &id, 0, clock + 110);
     assert_eq!(rig.stops(), [id]);
 });
 
-case!(a_slow_attempt_does_not_stand_still, {
-    let (mut rig, id, clock) = running(200);
+case!(a_slow_attempt_is_not_stalled, {
+    let (mut rig, id, clock) = running_task(200);
     for (percent, after) in [(3, 50), (11, 150), (18, 250), (25, 350)] {
-        progress(&mut rig, &id, percent, clock + after);
+        report_progress(&mut rig, &id, percent, clock + after);
         assert!(rig.stops().is_empty(), "{percent} % after {after} ms");
     }
 });
 
-case!(a_listing_that_comes_late_shows_no_standstill, {
-    let (mut rig, id, clock) = running(200);
-    progress(&mut rig, &id, 10, clock + 20);
+case!(a_late_listing_does_not_show_a_stall, {
+    let (mut rig, id, clock) = running_task(200);
+    report_progress(&mut rig, &id, 10, clock + 20);
     // What was listed 30 ms later is on its way for long.
     rig.pass(300);
-    progress(&mut rig, &id, 10, clock + 50);
+    report_progress(&mut rig, &id, 10, clock + 50);
     assert!(rig.stops().is_empty());
 });
 
-case!(a_target_that_tells_no_progress_is_waited_for, {
-    let (mut rig, id, _) = running(200);
+case!(an_attempt_without_progress_reports_is_not_stopped, {
+    let (mut rig, id, _) = running_task(200);
     rig.pass(200);
     for (call, _) in rig.renewals() {
         rig.listing(call, std::slice::from_ref(&id), &[]);
@@ -356,7 +359,7 @@
 });
 
 /// Starts an attempt for the peer; returns it.
-fn started_for_peer(rig: &mut Rig, task: &str) -> AttemptId {
+fn start_for_peer(rig: &mut Rig, task: &str) -> AttemptId {
     rig.peer_asks(90, Request::Place(vec![order(task, 900)]));
     let (call, _, id) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
@@ -389,8 +392,8 @@
     };
     let mut rig = Rig::holding_targets_with(settings, &[target("near", 24)]);
     rig.event(Event::HostsRead(vec![peer_info()]));
-    let own = started(&mut rig, ID);
-    let theirs = started_for_peer(&mut rig, "00000000000000aa.0.0.0");
+    let own = submit_and_accept(&mut rig, ID);
+    let theirs = start_for_peer(&mut rig, "00000000000000aa.0.0.0");
     let over = rig.now + BOUNDS.times().unwrap().lost_attempts_over;
     let extended = renewed_until(&mut rig, 1_000, &[own, theirs]);
     let ends = extended.expect("a renewal before the owner fell silent") + BOUNDS.stop_grace_ms;
@@ -399,7 +402,7 @@
 
 // Guards against a second run of a task whose owner fell silent: the attempts beside it went on
 // extending the lease under which it ran, while its stop was lost.
-case!(no_lease_is_extended_past_a_stop_that_is_not_confirmed, {
+case!(no_lease_is_extended_past_an_unconfirmed_stop, {
     let (mut rig, ends, over) = owner_silent_and_stops_lost(Safeguards::default());
     assert!(ends <= over, "it runs until {ends}, and again from {over}");
     assert!(rig.stops().len() > 1, "the stop is repeated");
@@ -407,19 +410,22 @@
     assert!(rig.starts().is_empty(), "the lease is about to end");
 });
 
-case!(a_lease_that_is_extended_all_the_same_is_found, {
-    let (_, ends, over) = owner_silent_and_stops_lost(Safeguards {
-        unconfirmed_stops_end_leases: false,
-        ..Safeguards::default()
-    });
-    assert!(ends > over, "it runs until {ends}, and again from {over}");
-});
+case!(
+    without_the_safeguard_a_lease_is_extended_past_an_unconfirmed_stop,
+    {
+        let (_, ends, over) = owner_silent_and_stops_lost(Safeguards {
+            unconfirmed_stops_end_leases: false,
+            ..Safeguards::default()
+        });
+        assert!(ends > over, "it runs until {ends}, and again from {over}");
+    }
+);
 
 case!(a_lease_is_extended_again_once_the_stop_is_confirmed, {
     let mut rig = Rig::holding_targets(&[target("near", 24)]);
     rig.event(Event::HostsRead(vec![peer_info()]));
-    let own = started(&mut rig, ID);
-    let theirs = started_for_peer(&mut rig, "00000000000000aa.0.0.0");
+    let own = submit_and_accept(&mut rig, ID);
+    let theirs = start_for_peer(&mut rig, "00000000000000aa.0.0.0");
     let running = [own.clone(), theirs.clone()];
     let times = BOUNDS.times().unwrap();
     renewed_until(&mut rig, times.owner_lease + 20, &running);
--- a/crates/dispatcher-core/tests/unusable_entries.rs
+++ b/crates/dispatcher-core/tests/unusable_entries.rs
@@ -19,7 +19,7 @@
     Event::TargetsChanged(vec![TargetChange::Unusable(unusable(id))])
 }
 
-fn there(id: &str) -> Event {
+fn becomes_usable(id: &str) -> Event {
     Event::TargetsChanged(vec![TargetChange::There(target(id, 16))])
 }
 
@@ -30,20 +30,17 @@
     !rig.starts().is_empty()
 }
 
-case!(
-    a_known_target_gets_nothing_until_its_entry_reads_well_again,
-    {
-        let mut rig = Rig::holding_targets(&[target("near", 16)]);
-        assert!(starts_job(&mut rig, 1));
-        rig.event(becomes_unusable("near"));
-        assert!(!starts_job(&mut rig, 2), "started on an unusable entry");
-        rig.event(there("near"));
-        rig.event(Event::Tick);
-        assert_eq!(rig.starts().len(), 1, "the job that waited");
-    }
-);
+case!(a_known_target_gets_no_tasks_until_its_entry_is_usable, {
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
+    assert!(starts_job(&mut rig, 1));
+    rig.event(becomes_unusable("near"));
+    assert!(!starts_job(&mut rig, 2), "started on an unusable entry");
+    rig.event(becomes_usable("near"));
+    rig.event(Event::Tick);
+    assert_eq!(rig.starts().len(), 1, "the waiting job starts");
+});
 
-case!(what_runs_there_goes_on, {
+case!(attempts_on_an_unusable_target_continue, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, "0000000000000001", vec![step(1, 7_000, 100)], 1_500);
     let (call, _, id) = rig.starts().pop().expect("a start");
@@ -61,7 +58,7 @@
     assert!(rig.answer_to(1).is_some(), "the job is answered");
 });
 
-case!(an_entry_of_a_target_that_is_not_known_names_none, {
+case!(an_unusable_entry_of_an_unknown_target_is_ignored, {
     let mut rig = Rig::new();
     rig.event(becomes_unusable("far-away"));
     rig.pass(1_000);
@@ -69,7 +66,7 @@
     assert_eq!(rig.host.counts(rig.now).targets_known, 0);
 });
 
-case!(half_of_a_whole_list_may_be_unusable, {
+case!(half_of_a_full_list_may_be_unusable, {
     let ids: Vec<String> = (0..8).map(|number| format!("t-{number}")).collect();
     let targets: Vec<_> = ids.iter().map(|id| target(id, 16)).collect();
     let mut rig = Rig::holding_targets(&targets);
@@ -112,22 +109,22 @@
     rig.pass(1_000);
     let renews = |called: &support::Called| matches!(called.order, TargetCall::Renew { .. });
     assert!(!rig.calls.iter().any(renews), "{:?}", rig.calls);
-    rig.event(there("near"));
+    rig.event(becomes_usable("near"));
     rig.pass(100);
     assert!(rig.calls.iter().any(renews));
 });
 
 /// Asks for news of the store and returns the list that is told.
-fn told_list(rig: &mut Rig, after: u64) -> ListNews {
+fn reported_list(rig: &mut Rig, after: u64) -> ListNews {
     rig.peer_asks(9, Request::PlatformNews { after });
     let (_, reply) = rig.replies.pop().expect("a reply");
     let ReplyBody::PlatformNews(Some(news)) = reply.body else {
-        panic!("no news: {:?}", reply.body);
+        panic!("no list: {:?}", reply.body);
     };
     news.store.list
 }
 
-fn answered(rig: &mut Rig, version: u64) {
+fn store_answers(rig: &mut Rig, version: u64) {
     for table in [StoreTable::Targets, StoreTable::Configuration] {
         rig.event(Event::StoreAnswered {
             table,
@@ -137,22 +134,22 @@
     }
 }
 
-case!(others_are_told_of_unusable_entries, {
+case!(unusable_entries_are_reported_to_peers, {
     let mut rig = Rig::holding_targets(&[target("a", 16), target("b", 16)]);
-    answered(&mut rig, 10);
+    store_answers(&mut rig, 10);
     rig.event(becomes_unusable("b"));
-    answered(&mut rig, 11);
-    let ListNews::Changes(changes) = told_list(&mut rig, 10) else {
+    store_answers(&mut rig, 11);
+    let ListNews::Changes(changes) = reported_list(&mut rig, 10) else {
         panic!("all changes since are known");
     };
     assert_eq!(changes, [TargetChange::Unusable(unusable("b"))]);
-    let ListNews::WholeWithUnusable(list) = told_list(&mut rig, 0) else {
-        panic!("who knows nothing is told all");
+    let ListNews::WholeWithUnusable(list) = reported_list(&mut rig, 0) else {
+        panic!("a peer without a list is sent all of it");
     };
     assert_eq!(list.targets, [target("a", 16)]);
     assert_eq!(list.unusable, [unusable("b")]);
     // Where none is unusable, hosts of earlier releases can read the list as well.
-    rig.event(there("b"));
-    answered(&mut rig, 12);
-    assert!(matches!(told_list(&mut rig, 0), ListNews::Whole(targets) if targets.len() == 2));
+    rig.event(becomes_usable("b"));
+    store_answers(&mut rig, 12);
+    assert!(matches!(reported_list(&mut rig, 0), ListNews::Whole(targets) if targets.len() == 2));
 });
