--- a/crates/dispatcher-core/src/targets/attempt.rs
+++ b/crates/dispatcher-core/src/targets/attempt.rs
@@ -13,27 +13,27 @@
 use crate::spec::Resources;
 use crate::Millis;
 
-/// The owner of an attempt: a host, and its session with this one.
+/// Identifies on whose behalf an attempt runs: a host and its session with this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
     /// The host that owns the job.
     pub host: Name,
-    /// Under which of its sessions it asked for the attempt.
+    /// The host's session in which it requested the attempt.
     pub session: OwnerSession,
 }
 
-/// A session of a host with this one. Later ones are greater: sessions begin anew with
-/// each incarnation.
+/// A session of another host with this one. Sessions compare by age: the numbers restart with each
+/// incarnation of the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OwnerSession {
     /// The host's incarnation.
     pub incarnation: u64,
-    /// The session's number; 0 for this host's own attempts.
+    /// Grows within an incarnation; 0 for this host's own attempts.
     pub number: u64,
 }
 
 impl OwnerSession {
-    /// Later than all others.
+    /// Compares as later than every other session.
     pub const MAX: Self = Self {
         incarnation: u64::MAX,
         number: u64::MAX,
@@ -49,61 +49,62 @@
     }
 }
 
-/// How far the stop of an attempt has got.
+/// The progress of stopping an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopStage {
-    /// The attempt is wanted.
+    /// No stop was requested.
     NotRequested,
     /// A stop is to be sent.
     ToSend,
-    /// A stop is on its way.
+    /// A stop is in flight.
     Sent {
-        /// The call that carries it.
+        /// The call that carries the stop.
         call: CallId,
-        /// When it was sent.
+        /// When the stop was sent.
         at: Millis,
     },
-    /// The target has carried the stop out, at this time.
+    /// The target confirmed the stop at this time.
     Done(Millis),
 }
 
-/// An attempt that was sent to a target; times in ms of this host's clock.
+/// An attempt on a target. Times are in ms of this host's clock.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub(super) owner: Owner,
     pub(super) resources: Resources,
-    /// What its start will carry, while that waits for its target to be heard.
+    /// The task's specification while the start waits for a reply from the target; `None` once the
+    /// start was sent.
     pub(super) unsent_specification: Option<Name>,
-    /// When its start was sent.
+    /// When the start was sent; before that, when the attempt was added.
     pub(super) started: Millis,
     pub(super) estimate_ms: Millis,
-    /// The urgency of its queue; the most urgent where it isn't told.
+    /// The urgency of the task's queue; 0, the most urgent, if it isn't known.
     pub(super) urgency: u8,
-    /// What it has in common with others whose running times are learned together.
+    /// The group of tasks whose running times are learned together.
     pub(super) kind: TaskKind,
-    /// Whether its data lies in another rack.
+    /// True if the task's data lies in another rack.
     pub(super) is_far: bool,
-    /// How long it is expected to run, where that is learned.
+    /// The expected running time; set only if running times are learned.
     pub(super) forecast: Option<Forecast>,
-    /// The step by which its tasks are spread over targets.
+    /// The step whose tasks are spread over targets.
     pub(super) spread: Option<Name>,
-    /// When the target is known to have it.
+    /// When the target first confirmed that it has the attempt.
     pub(super) confirmed: Option<Millis>,
-    /// The latest time at which the target may begin it.
+    /// The latest time at which the target may start the attempt.
     pub(super) latest_start: Millis,
-    /// How far it has got, once its target has told that it has it.
+    /// Set once the target has confirmed the attempt.
     pub(super) progress: Option<Progress>,
-    /// When its target last told how far it has got.
+    /// When the target last reported progress.
     progress_received: Millis,
-    /// Whether it stands still, as its target's last listing showed.
+    /// True if the attempt had stalled when the target last reported its progress.
     pub(super) stalled: bool,
     pub(super) stop: StopStage,
-    /// Whether the owner wants to be told of its end.
+    /// True if the owner wants a report of the end.
     pub(super) report_end: bool,
 }
 
 impl Attempt {
-    /// Creates an attempt whose start is to be sent.
+    /// Creates an attempt whose start has yet to be sent.
     pub(super) fn new(now: Millis, latest_start: Millis, owner: &Owner, order: &TaskOrder) -> Self {
         Self {
             unsent_specification: Some(order.specification.clone()),
@@ -126,7 +127,6 @@
         }
     }
 
-    /// Returns its size.
     pub(super) fn size(&self) -> TaskSize {
         TaskSize {
             urgency: self.urgency,
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Records that its start is sent now; returns what that carries, unless it was sent before.
+    /// Records that the start is sent now. Returns the specification to send, or `None` if the
+    /// start was sent before.
     pub(super) fn mark_sent(&mut self, now: Millis, latest_start: Millis) -> Option<Name> {
         let specification = self.unsent_specification.take()?;
         self.started = now;
@@ -143,12 +144,12 @@
         Some(specification)
     }
 
-    /// Records that the target has it.
+    /// Records that the target has the attempt; the first confirmation counts.
     pub(super) fn confirm(&mut self, now: Millis) {
         self.confirmed.get_or_insert(now);
     }
 
-    /// Records how far its target's listing says that it has got.
+    /// Records the progress that the target's listing shows; `clock` is the target's.
     pub(super) fn observe_progress(&mut self, now: Millis, percent: u8, clock: Millis) {
         self.progress_received = now;
         let first = Progress::first_told(percent, clock);
@@ -160,8 +161,8 @@
         };
     }
 
-    /// Returns whether it runs far longer than expected. One whose target tells its progress is
-    /// judged by that alone where running times are learned.
+    /// Returns true if the attempt runs far longer than expected. Where running times are learned,
+    /// an attempt whose progress is reported is never overrunning: it can only stall.
     pub(super) fn overruns(&self, now: Millis, health: &TargetHealth) -> bool {
         let Some(forecast) = &self.forecast else {
             return now > self.started + health.overrun_after_ms(self.estimate_ms);
@@ -170,7 +171,7 @@
         !reports_progress && now > self.started + forecast.overrun_after_ms
     }
 
-    /// Returns the expected time until its end, in ms; `slowdown` counts where running times
+    /// Returns the expected time until the end, in ms. `slowdown` is used only if running times
     /// aren't learned.
     pub(super) fn remaining_ms(&self, now: Millis, slowdown: f64) -> Millis {
         let end = match &self.forecast {
@@ -180,8 +181,8 @@
         end.saturating_sub(now)
     }
 
-    /// Has it stopped, with `report` telling whether its owner wants to know of
-    /// its end. Returns false if it is being stopped already.
+    /// Requests a stop; `report` is false if the owner needs no report of the end. Returns false if
+    /// a stop was already requested.
     pub(super) fn request_stop(&mut self, report: bool) -> bool {
         self.report_end &= report;
         let not_requested = self.stop == StopStage::NotRequested;
@@ -191,22 +192,24 @@
         not_requested
     }
 
-    /// Returns whether nobody waits to hear of its end, and its target hasn't confirmed its stop:
-    /// its owner, or a caller that comes again, counts on its lease to end it.
+    /// Returns true if the stop isn't confirmed and the owner doesn't wait for the end. The task
+    /// may then be started elsewhere as soon as the target's lease has expired, so that the lease
+    /// must not be extended.
     pub(super) fn has_unconfirmed_stop(&self) -> bool {
         !self.report_end && matches!(self.stop, StopStage::ToSend | StopStage::Sent { .. })
     }
 
-    /// Returns whether a listing that was asked for at `asked` would show it if it
-    /// ran: what came in the same millisecond may have come after.
+    /// Returns true if a listing requested at `requested` would show the attempt while it runs.
+    /// Events in the same millisecond may have come after the listing, so they don't count.
     pub(super) fn would_be_listed(&self, requested: Millis) -> bool {
         let stopped = matches!(self.stop, StopStage::Done(at) if at < requested);
         let confirmed = self.confirmed.is_some_and(|at| at < requested);
         stopped || confirmed || self.latest_start < requested
     }
 
-    /// Returns whether it ran when its target was lost, which was known to be gone at `gone_by`;
-    /// without that an attempt whose end wasn't heard counts as running.
+    /// Returns how certain it is that the attempt ran when its target was lost. `gone_by` is the
+    /// latest time at which the target can have stopped; with `None`, an attempt whose end wasn't
+    /// received counts as running.
     pub(super) fn running_when_lost(&self, gone_by: Option<Millis>) -> Ran {
         if self.unsent_specification.is_some() {
             return Ran::No;
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Returns the earliest time at which it may be done, as far as it has shown.
+    /// Returns the earliest time at which the attempt may be done, by its progress or its estimate.
     fn earliest_end(&self) -> Millis {
         let estimate_ms = self.estimate_ms as f64;
         let reported = self.progress.filter(Progress::is_told);
@@ -233,12 +236,11 @@
         self.progress_received + crashes::least_remaining_ms(total_ms, progress.percent())
     }
 
-    /// Returns whether it counts for a limit of tasks of one step.
+    /// Returns true if the attempt belongs to the step that `limit` spreads.
     pub(super) fn counts_towards(&self, limit: &SpreadLimit) -> bool {
         self.spread.as_ref() == Some(&limit.step)
     }
 
-    /// Returns how long it has been running.
     pub(super) fn running_time(&self, now: Millis) -> RunningTime {
         RunningTime {
             since_ms: now.saturating_sub(self.started),
@@ -247,41 +249,41 @@
     }
 }
 
-/// How long an attempt is expected to run.
+/// The expected running time of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Forecast {
-    /// The longest time to reckon with for its kind there, in ms.
+    /// The longest running time expected of its kind on this target, in ms.
     pub(super) longest_ms: f64,
-    /// Its expected end, on this host's clock.
+    /// The expected end, in ms of this host's clock.
     pub(super) end: Millis,
-    /// When it overruns if its target tells no progress, in ms from its start.
+    /// The running time, in ms, after which an attempt without reported progress is overrunning.
     pub(super) overrun_after_ms: Millis,
 }
 
-/// What running times are learned by.
+/// The properties of a task from which running times are learned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MeasuredTask {
-    /// What the task has in common with others.
+    /// The group of tasks whose running times are learned together.
     pub kind: TaskKind,
-    /// Its estimate, in ms.
+    /// The caller's estimate, in ms.
     pub estimate_ms: Millis,
-    /// Whether its data lay in another rack.
+    /// True if the task's data lay in another rack.
     pub is_far: bool,
 }
 
-/// The end of an attempt, and who is to be told.
+/// The end of an attempt, to be reported to its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndReport {
-    /// The owner.
+    /// The host and session that requested the attempt.
     pub owner: Owner,
-    /// The end.
+    /// The attempt, its outcome and its target.
     pub end: AttemptEnd,
-    /// What showed it.
+    /// What showed that the attempt ended.
     pub by: EndEvidence,
-    /// Time since its start was sent.
+    /// Time since the start was sent, in ms.
     pub took_ms: Millis,
-    /// What its running time is learned by.
+    /// The task's properties for learning its running time.
     pub task: MeasuredTask,
-    /// Whether the owner wants to be told.
+    /// True if the owner wants a report.
     pub report_wanted: bool,
 }
--- a/crates/dispatcher-core/src/targets/capacity.rs
+++ b/crates/dispatcher-core/src/targets/capacity.rs
@@ -1,7 +1,8 @@
-//! What a target has, as its entry and its listings tell it; see [`crate::rules::capacity`].
+//! The capacity of targets, as their entries and listings report it; see
+//! [`crate::rules::capacity`].
 //!
-//! A capacity that shrinks stops nothing: what runs goes on, and nothing is started until it
-//! fits beside all that runs or is being stopped.
+//! Shrinking capacity stops no attempt. Nothing new is started until it fits beside all attempts,
+//! including those being stopped.
 
 use gannetridge_wire::Name;
 
@@ -17,11 +18,11 @@
 use super::target::Target;
 use super::TargetLeases;
 
-/// What a target has told of its capacity.
+/// The capacity that a target has reported.
 #[derive(Debug)]
 pub(super) struct Capacity {
     reported: ToldCapacity,
-    /// Whether its last listing told one that can't be read.
+    /// True if the last listing held a capacity that can't be read.
     unusable: bool,
 }
 
@@ -34,19 +35,19 @@
     }
 }
 
-/// What news of a target's capacity changed.
+/// How an update affected a target's capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CapacityChange {
-    /// Nothing.
+    /// The capacity in force stays the same.
     Unchanged,
     /// Another capacity is in force.
     Changed,
-    /// The listings tell one that can't be read, from now on.
+    /// The last listing holds a capacity that can't be read, unlike the one before.
     BecameUnusable,
 }
 
 impl Target {
-    /// Takes in what the platform's list says of it.
+    /// Replaces the target's entry by a newer one from the platform's list.
     pub(super) fn update_entry(&mut self, now: Millis, entry: TargetEntry) -> CapacityChange {
         if self.capacity.reported.entry_told(now, entry.capacity) {
             self.lease.next_renewal = now;
@@ -55,7 +56,7 @@
         self.apply_capacity(before)
     }
 
-    /// Takes in the capacity that a listing tells which was asked for at `asked`.
+    /// Applies the capacity in a listing that was requested at `requested`.
     pub(super) fn update_listed_capacity(
         &mut self,
         requested: Millis,
@@ -72,7 +73,7 @@
         change
     }
 
-    /// Forgets what listings told.
+    /// Discards the capacity that listings reported; the entry's is in force again.
     pub(super) fn clear_listed_capacity(&mut self) {
         self.capacity.reported.forget_listings();
         self.capacity.unusable = false;
@@ -88,12 +89,12 @@
         }
     }
 
-    /// Returns whether an order could run here, now or once there are the resources.
+    /// Returns true if the target could run the task, now or once its resources are free.
     pub(super) fn could_run(&self, order: &TaskOrder) -> bool {
         target_choice::could_run(&self.entry, &self.capacity.reported.most(), order)
     }
 
-    /// Returns what attempts take, those that are being stopped among them.
+    /// Returns the resources of all attempts, including those being stopped.
     fn used_resources(&self) -> Resources {
         let attempts = self.attempts.values();
         attempts.fold(Resources::default(), |used, attempt| {
@@ -103,7 +104,7 @@
 }
 
 impl TargetLeases {
-    /// Records what news of a target's capacity changed, if this host looks after it.
+    /// Records a change of a target's capacity, if this host holds or acquires the lease.
     pub(super) fn record_capacity(&mut self, id: &Name, change: CapacityChange, by: BeliefSource) {
         if !self.leased.contains(id) {
             return;
--- a/crates/dispatcher-core/src/targets/claims.rs
+++ b/crates/dispatcher-core/src/targets/claims.rs
@@ -1,7 +1,7 @@
-//! Which targets this host acquires, gives up and takes back.
+//! Acquires, releases and takes back targets.
 //!
-//! Owns the assignment as this host reckons it ([`crate::rules::assignment`]); what it
-//! does when another host took a target is decided by [`crate::rules::contention`].
+//! Owns the assignment that this host computes ([`crate::rules::assignment`]).
+//! [`crate::rules::contention`] decides what it does when another host takes a target.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -16,16 +16,16 @@
 
 use super::TargetLeases;
 
-/// Which targets are this host's, as the hosts that live now share them.
+/// The targets assigned to this host, computed from the hosts that are alive.
 #[derive(Debug)]
 pub(super) struct Assignment {
     own_name: Name,
     assigned: BTreeSet<Name>,
-    /// The hosts among which they were shared.
+    /// The hosts for which the assignment was computed.
     hosts: Vec<HostInfo>,
-    /// Whether targets have come since.
+    /// True if targets were added since.
     is_stale: bool,
-    /// Targets that this host has and another should have, and since when.
+    /// Targets that this host holds although they are assigned to another host, and since when.
     misassigned: HashMap<Name, Millis>,
 }
 
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Records that there are other targets.
+    /// Records that the set of targets changed.
     pub(super) fn targets_changed(&mut self) {
         self.is_stale = true;
     }
 
-    /// Records that a target is gone, or no longer this host's.
+    /// Removes a target that was deleted or that this host no longer holds.
     pub(super) fn remove(&mut self, target: &Name) {
         self.misassigned.remove(target);
     }
 
-    /// Returns since when this host has a target that another should have.
+    /// Returns since when this host has held a target that is assigned to another host.
     pub(super) fn misassigned_since(&self, target: &Name) -> Option<Millis> {
         self.misassigned.get(target).copied()
     }
@@ -61,11 +61,10 @@
 }
 
 impl TargetLeases {
-    /// Acquires and gives up targets, as the hosts that live now share them.
+    /// Acquires and releases targets by their assignment to the hosts that are alive.
     ///
-    /// `hosts` are those that may hold targets, `claimed` tells whether another
-    /// living host holds a target, `may_acquire` whether this host knows enough of
-    /// the others.
+    /// `hosts` may hold targets; `claimed` returns true for a target that another live host holds;
+    /// `may_acquire` is true if this host knows enough of the others.
     pub fn assign(
         &mut self,
         now: Millis,
@@ -105,8 +104,7 @@
         }
     }
 
-    /// Finds the targets that are assigned to this host, if hosts or targets
-    /// changed.
+    /// Computes the targets assigned to this host, if hosts or targets changed.
     fn update_assignment(&mut self, hosts: &[HostInfo]) {
         if !self.assignment.is_stale && self.assignment.hosts == hosts {
             return;
@@ -123,13 +121,13 @@
         self.assignment.is_stale = false;
     }
 
-    /// Takes note of the pools that the configuration names.
+    /// Sets the pools that the configuration names.
     pub fn set_pools(&mut self, pools: HashSet<Name>) {
         self.pools = Some(pools);
     }
 
-    /// Returns whether a pool is named by the configuration, as far as there is one: an entry
-    /// of another names no target to use, so that nothing calls its address.
+    /// Returns true if the configuration names the pool, or isn't known yet. Targets of other pools
+    /// are never called.
     fn is_pool_named(&self, pool: &Name) -> bool {
         let pools = self.pools.as_ref();
         pools.is_none_or(|pools| pools.contains(pool))
@@ -157,13 +155,12 @@
         }
     }
 
-    /// Records that a target has seen a higher token than a call of this host
-    /// carried; see [`contention`].
+    /// Handles a reply that shows a higher token than `sent` at the target; see [`contention`].
     pub(super) fn token_superseded(&mut self, now: Millis, id: &Name, sent: u64) {
         let Some(target) = self.targets.get(id) else {
             return;
         };
-        // A call with an earlier token tells nothing of the present one.
+        // A call with an earlier token shows nothing about the present one.
         let Some(claim) = target.lease.claim().filter(|_| sent == target.lease.token) else {
             return;
         };
@@ -196,7 +193,7 @@
         self.record_target(id, TargetBelief::Reacquiring, BeliefSource::StaleToken);
     }
 
-    /// Records that the target's process is another one by now.
+    /// Handles a reply that shows another process at the target's address.
     pub(super) fn handle_wrong_incarnation(&mut self, now: Millis, id: &Name) {
         let known = self.targets.get(id);
         let gone_by = known.and_then(|target| self.gone_by(now, target));
--- a/crates/dispatcher-core/src/targets/ends.rs
+++ b/crates/dispatcher-core/src/targets/ends.rs
@@ -1,7 +1,7 @@
-//! How attempts on a target end, and what that shows of the target.
+//! Ends of attempts, and what they show of the target.
 //!
-//! An attempt ends when the target lists its end, when a listing that would show it
-//! doesn't, or when the target's lease expired. Anything less leaves it running.
+//! An attempt ends when the target lists its end, when a listing that would show it doesn't, or
+//! when the target's lease has expired. Until then it counts as running.
 
 use std::collections::BTreeMap;
 
@@ -14,23 +14,22 @@
 use super::attempt::{EndReport, MeasuredTask};
 use super::target::Target;
 
-/// A target's listing, as it was asked for.
+/// A status reply of a target.
 pub(super) struct Listing<'a> {
-    /// When it was asked for.
+    /// When this host requested it.
     pub(super) requested: Millis,
     /// The target's clock.
     pub(super) clock: Millis,
-    /// What runs there.
+    /// The attempts that run on the target.
     pub(super) running: &'a [ListedAttempt],
-    /// Ends that weren't acknowledged before.
+    /// Ends that this host hasn't acknowledged yet.
     pub(super) ended: &'a [ListedEnd],
 }
 
 impl Target {
-    /// Takes a listing in; returns the attempts that have ended.
+    /// Applies a listing and returns the attempts that have ended.
     ///
-    /// With `settles` a new holder waits until attempts that it doesn't know are
-    /// over.
+    /// With `settles`, a new holder waits until the attempts that it doesn't know have ended.
     pub(super) fn apply_listing(
         &mut self,
         now: Millis,
@@ -88,7 +87,7 @@
         self.end_attempt(now, &end.id, outcome, EndEvidence::Listed)
     }
 
-    /// Ends an attempt.
+    /// Removes an attempt and returns the report of its end, if the attempt is known.
     pub(super) fn end_attempt(
         &mut self,
         now: Millis,
@@ -115,7 +114,7 @@
         })
     }
 
-    /// Ends all attempts, since the target was lost; see [`Target::lost_outcomes`].
+    /// Ends all attempts because the target was lost; see [`Target::lost_outcomes`].
     pub(super) fn end_all_attempts(
         &mut self,
         now: Millis,
@@ -129,8 +128,8 @@
             .collect()
     }
 
-    /// Returns how the attempts here end now that the target is lost, which was known to be gone at
-    /// `gone_by`.
+    /// Returns the outcomes of all attempts if the target is lost. `gone_by` is the latest time at
+    /// which the target can have stopped.
     pub(super) fn lost_outcomes(
         &self,
         loss: TargetLoss,
--- a/crates/dispatcher-core/src/targets/free_capacity.rs
+++ b/crates/dispatcher-core/src/targets/free_capacity.rs
@@ -1,5 +1,5 @@
-//! What this host's targets have free, and what they are expected to free: what holders tell
-//! each other where tasks wait at holders. See [`crate::rules::backlog`].
+//! Free capacity of this host's targets, now and in the near future. Holders report it to each
+//! other where tasks queue at holders; see [`crate::rules::backlog`].
 
 use std::cmp::Reverse;
 
@@ -16,41 +16,43 @@
 use super::target::Target;
 use super::TargetLeases;
 
-/// The most targets with room that a message tells of, the freest: a peer hands over what fits,
-/// and hears again with the reply.
+/// The most targets that one message reports, those with the most free capacity. A peer hands over
+/// what fits there, and the reply updates the peer.
 const MAX_TARGETS_PER_MESSAGE: usize = 8;
 
-/// What this host's usable targets of one pool have.
+/// The capacity and use of this host's usable targets in one pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolCapacity {
-    /// The pool.
+    /// The pool that all the targets belong to.
     pub pool: Name,
-    /// Thousandths of a core that they have.
+    /// Total capacity, in thousandths of a core.
     pub capacity_cpu: u32,
-    /// Thousandths of a core in use.
+    /// Capacity in use, in thousandths of a core.
     pub used_cpu: u32,
-    /// Thousandths of a core that are free, or are expected to be before a task that comes now
-    /// may no longer begin, as far as ordinary tasks fit into them.
+    /// Thousandths of a core that are free or expected to be freed within [`HANDED_MS`]. Of each
+    /// target only as much counts as whole tasks of average size would use.
     pub soon_free_cpu: u32,
 }
 
-/// What this host's usable targets of one pool have, and what runs there.
+/// The capacity of this host's usable targets in one pool, and the sizes of the tasks that run
+/// there.
 #[derive(Clone, Debug, Default)]
 pub struct RunningSizes {
-    /// Thousandths of a core that they have.
+    /// Total capacity, in thousandths of a core.
     pub capacity_cpu: u32,
-    /// What runs there.
+    /// The sizes of the running tasks.
     pub sizes: Vec<TaskSize>,
 }
 
 impl TargetLeases {
-    /// Returns a target of the list.
+    /// Returns the entry of a target in the list.
     #[must_use]
     pub fn entry(&self, id: &Name) -> Option<&TargetEntry> {
         self.targets.get(id).map(|target| &target.entry)
     }
 
-    /// Returns the usable targets with free resources, the freest first.
+    /// Returns the usable targets with free capacity, those with the most first, at most
+    /// [`MAX_TARGETS_PER_MESSAGE`].
     #[must_use]
     pub fn free_by_target(&self, now: Millis) -> Vec<TargetRoom> {
         let usable = self.usable_targets(now);
@@ -64,7 +66,7 @@
         targets
     }
 
-    /// Returns what the usable targets have, by pool.
+    /// Returns the capacity and use of the usable targets, by pool.
     #[must_use]
     pub fn pool_capacities(&self, now: Millis) -> Vec<PoolCapacity> {
         let mut pools: Vec<PoolCapacity> = Vec::new();
@@ -83,8 +85,8 @@
         pools
     }
 
-    /// Returns the thousandths of a core of an ordinary attempt on the usable targets, 0 if none
-    /// runs.
+    /// Returns the average size of an attempt on the usable targets, in thousandths of a core; 0 if
+    /// there is none.
     fn mean_attempt_cpu(&self, now: Millis) -> u32 {
         let usable = self.usable_targets(now);
         let attempts = usable.flat_map(|target| target.attempts.values());
@@ -94,7 +96,7 @@
         (sum / u64::max(count, 1)) as u32
     }
 
-    /// Returns what the usable targets of a pool have, and what runs there.
+    /// Returns the capacity of the usable targets of a pool, and the sizes of their tasks.
     #[must_use]
     pub fn running_sizes(&self, now: Millis, pool: &Name) -> RunningSizes {
         let mut running = RunningSizes::default();
@@ -107,14 +109,14 @@
         running
     }
 
-    /// Returns whether a usable target could run a task, now or once it has the resources;
-    /// with `near` only those near its data.
+    /// Returns true if a usable target could run the task, now or once its resources are free. With
+    /// `near`, only targets near the task's data count.
     #[must_use]
     pub fn could_run_here(&self, now: Millis, order: &TaskOrder, near: bool) -> bool {
         let mut usable = self.usable_targets(now);
         usable.any(|target| {
-            let far = target_choice::is_far(&target.entry, order);
-            target.could_run(order) && !(near && far)
+            let is_far = target_choice::is_far(&target.entry, order);
+            target.could_run(order) && !(near && is_far)
         })
     }
 }
@@ -138,8 +140,8 @@
     }
 }
 
-/// Returns how much of a target's room whole ordinary tasks take: what is left beside them on
-/// each target starts nothing, however much it is on all together.
+/// Returns how much of a target's free capacity whole tasks of average size use. The rest can start
+/// no task, however large it is over all targets.
 fn whole_tasks_cpu(free_cpu: u32, mean_attempt_cpu: u32) -> u32 {
     match free_cpu.checked_div(mean_attempt_cpu) {
         Some(tasks) => tasks * mean_attempt_cpu,
--- a/crates/dispatcher-core/src/targets/incarnations.rs
+++ b/crates/dispatcher-core/src/targets/incarnations.rs
@@ -1,13 +1,14 @@
-//! The lives of a target under one id.
+//! Detects restarts of targets under the same id.
 //!
-//! A target may start again under its former id and address. The new life runs nothing of the
-//! old one, has seen no fencing token, and numbers its ends and counts its clock anew. Once a
-//! reply shows it, what this host knows of the old life is dropped, and its attempts are over.
-//! A higher fencing token sees to it that what was sent before does nothing any more.
+//! A target may restart under its former id and address. The new incarnation runs nothing of the
+//! previous one, has seen no fencing token, and restarts its clock and the numbering of its ends.
+//! Once a reply shows a restart, this host discards what it knows of the previous incarnation, ends
+//! its attempts, and acquires the lease with a higher fencing token, which makes earlier calls
+//! ineffective.
 //!
-//! Two things show another life: a listing that tells when it began, and a clock that went
-//! back, which any reply tells. Only calls that carry the present token count: what was sent
-//! before says nothing of the life that was found since.
+//! Two things show a restart: a listing with another start time of the incarnation, and a clock
+//! that went back, which any reply may show. Only replies to calls with the present token count:
+//! earlier calls show nothing about an incarnation found since.
 
 use std::collections::BTreeMap;
 
@@ -19,14 +20,15 @@
 
 use super::attempt::EndReport;
 use super::target::Target;
-use super::{Purpose, Sent, TargetLeases};
+use super::{PendingCall, Purpose, TargetLeases};
 
 impl TargetLeases {
-    /// Doubts the lives of all targets, since this host stood still: they may have started again
-    /// and be another host's by now. What was on its way says nothing of them.
+    /// Marks the incarnations of all targets as unconfirmed after this host was suspended: the
+    /// targets may have restarted or be held by another host. Replies to calls from before the
+    /// suspension show nothing.
     pub fn mark_incarnations_unconfirmed(&mut self) {
-        for sent in self.calls.values_mut() {
-            sent.sent_before_suspension = true;
+        for pending in self.calls.values_mut() {
+            pending.sent_before_suspension = true;
         }
         self.for_each_active(|target| {
             target.mark_incarnation_unconfirmed();
@@ -35,68 +37,80 @@
         });
     }
 
-    /// Returns when a target that is lost was known to be gone, at the latest now; none if ends
-    /// that weren't heard aren't reckoned with.
+    /// Returns the latest time at which a lost target can have stopped; `None` if the safeguard
+    /// that accounts for ends that weren't received is off.
     pub(super) fn gone_by(&self, now: Millis, target: &Target) -> Option<Millis> {
         let counted = self.safeguards.unheard_ends_are_reckoned;
         counted.then(|| target.refuses_since.unwrap_or(now))
     }
 
-    /// Drops what is known of a target's last life where a reply is of another one.
-    pub(super) fn detect_restart(&mut self, now: Millis, sent: &Sent, reply: &TargetReply) {
-        let Some(target) = self.targets.get_mut(&sent.target) else {
+    /// Discards what is known of a target's previous incarnation if a reply comes from another one.
+    pub(super) fn detect_restart(
+        &mut self,
+        now: Millis,
+        pending: &PendingCall,
+        reply: &TargetReply,
+    ) {
+        let Some(target) = self.targets.get_mut(&pending.target) else {
             return;
         };
-        let is_current = sent.token == target.lease.token && !target.lease.is_free();
-        if !is_current || sent.sent_before_suspension || !self.safeguards.lives_are_told_apart {
+        let is_current = pending.token == target.lease.token && !target.lease.is_free();
+        if !is_current || pending.sent_before_suspension || !self.safeguards.lives_are_told_apart {
             return;
         }
-        if !target.is_other_incarnation(sent.clock, reply) {
+        if !target.is_other_incarnation(pending.clock, reply) {
             if let Some(incarnation_start) = incarnation_start(reply) {
                 target.incarnation_start = Some(incarnation_start);
             }
             return;
         }
-        let gone_by = self.gone_by(now, &self.targets[&sent.target]);
-        let Some(target) = self.targets.get_mut(&sent.target) else {
+        let gone_by = self.gone_by(now, &self.targets[&pending.target]);
+        let Some(target) = self.targets.get_mut(&pending.target) else {
             return;
         };
         let token = self.tokens.next(now);
-        let requested = listing_requested_at(sent);
+        let requested = listing_requested_at(pending);
         self.reports.extend(target.end_unsent(now));
-        let lost = target.lost_outcomes(TargetLoss::Restarted, gone_by);
+        let outcomes = target.lost_outcomes(TargetLoss::Restarted, gone_by);
         let longest_attempts_over = self.times.longest_attempts_over;
-        let reports =
-            target.start_incarnation(now, token, longest_attempts_over, requested, lost, reply);
+        let reports = target.start_incarnation(
+            now,
+            token,
+            longest_attempts_over,
+            requested,
+            outcomes,
+            reply,
+        );
         self.reports.extend(reports);
         let by = BeliefSource::WrongIncarnation;
-        self.record_target(&sent.target, TargetBelief::Restarted, by);
+        self.record_target(&pending.target, TargetBelief::Restarted, by);
         self.send_stops(now);
     }
 }
 
 impl Target {
-    /// Returns whether a reply is of another life than the one that is known. `clock` is the
-    /// target's clock as heard before the call: within one life it never goes back.
+    /// Returns true if a reply comes from another incarnation than the known one. `clock` is the
+    /// target's last known clock before the call: within one incarnation it never goes back.
     fn is_other_incarnation(&self, clock: Option<Millis>, reply: &TargetReply) -> bool {
         self.reports_other_incarnation(reply)
             || accepted_call_clock(reply).is_some_and(|now| Some(now) < clock)
     }
 
-    /// Returns whether a reply tells that it is of another life.
+    /// Returns true if a reply reports another incarnation than the known one.
     fn reports_other_incarnation(&self, reply: &TargetReply) -> bool {
         let (known, reported) = (self.incarnation_start, incarnation_start(reply));
         reported.is_some() && known.is_some() && reported != known
     }
 
-    /// Begins to acquire the lease of a new life; returns the attempts that ended with the old
-    /// one: those that a target had confirmed before it was asked for the listing (`asked`), and
-    /// that aren't listed. Those whose start may have come to the new life are stopped there:
-    /// they carried a time of the old clock, so that it may have granted them the longest lease.
-    /// `lost` tells how attempts end that the new life doesn't list.
+    /// Starts to acquire the lease of a new incarnation. Returns the attempts that ended with the
+    /// previous one: those that the target had confirmed before the listing was requested
+    /// (`requested`) and that the listing doesn't show. All attempts are stopped: a start may have
+    /// reached the new incarnation with a deadline on the previous clock, for which the target may
+    /// have granted its longest lease. `outcomes` are those of attempts that the new incarnation
+    /// doesn't list.
     ///
-    /// A clock that went back ends no attempt by itself, so that nothing rests on the clocks
-    /// of targets alone: the next listing shows what runs.
+    /// A clock that went back ends no attempt by itself, so that correctness doesn't rest on
+    /// targets' clocks: the next listing shows what runs.
     fn start_incarnation(
         &mut self,
         now: Millis,
@@ -111,7 +125,7 @@
         self.reset_speed();
         self.incarnation_start = incarnation_start(reply);
         self.lease.reacquire_after_restart(now, token);
-        // What a life before that had is known better from then.
+        // Outcomes from an earlier restart are more accurate than those computed now.
         let before = std::mem::take(&mut self.restart_outcomes);
         self.restart_outcomes = outcomes;
         self.restart_outcomes.extend(before);
@@ -133,15 +147,15 @@
             let outcome = self.restart_outcomes.remove(&id).unwrap_or(lost);
             reports.extend(self.end_attempt(now, &id, outcome, by));
         }
-        // An order with a time of the old clock may have come to the new life: what runs there
-        // from now on may then run for as long as it grants at all.
+        // A start with a deadline on the previous clock may have reached the new incarnation, which
+        // may then run its attempts for the longest lease that it grants.
         self.lease.extend(now + longest_attempts_over);
         reports
     }
 }
 
-/// Returns the clock that a reply tells of a target that took the call in. A target that has
-/// seen a higher token is another host's by now, whatever its clock shows.
+/// Returns the target's clock, if the reply shows that the target handled the call under its token.
+/// A target that has seen a higher token is held by another host, whatever its clock shows.
 pub(super) fn accepted_call_clock(reply: &TargetReply) -> Option<Millis> {
     match reply {
         TargetReply::Accepted { clock }
@@ -155,15 +169,15 @@
     }
 }
 
-/// Returns when a listing was asked for, if the call did.
-fn listing_requested_at(sent: &Sent) -> Option<Millis> {
-    match sent.purpose {
+/// Returns when a call requested a listing, if it did.
+fn listing_requested_at(pending: &PendingCall) -> Option<Millis> {
+    match pending.purpose {
         Purpose::Renewal { requested } => Some(requested),
         Purpose::Start(_) | Purpose::Stop(_) => None,
     }
 }
 
-/// Returns when the life began that sent a reply, if it tells.
+/// Returns the start time of the replying incarnation, if the reply reports it.
 fn incarnation_start(reply: &TargetReply) -> Option<Born> {
     match reply {
         TargetReply::Listing { born, .. } => *born,
@@ -171,7 +185,7 @@
     }
 }
 
-/// Returns whether a reply lists an attempt as running.
+/// Returns true if a reply lists an attempt as running.
 fn lists_as_running(reply: &TargetReply, id: &AttemptId) -> bool {
     match reply {
         TargetReply::Listing { running, .. } => running.iter().any(|listed| listed.id == *id),
--- a/crates/dispatcher-core/src/targets/learned_times.rs
+++ b/crates/dispatcher-core/src/targets/learned_times.rs
@@ -1,11 +1,10 @@
-//! What this host learns of running times from the ends on its targets, and what it
-//! expects of attempts that still run.
+//! Learns running times from the ends of attempts and forecasts the attempts that still run.
 //!
-//! Owns the running times of each kind of task ([`crate::rules::running_time`]) and where it
-//! failed ([`crate::rules::failure_source`]), and a speed for
-//! each target ([`crate::rules::target_speed`]), which stays with the target while other
-//! hosts hold it and is forgotten with its life. Ends count for whichever owner the attempt ran.
-//! Nothing of this is told to other hosts: a new holder begins with what it knows itself.
+//! Owns the running times of each kind of task ([`crate::rules::running_time`]), where the kind
+//! failed ([`crate::rules::failure_source`]), and a speed per target
+//! ([`crate::rules::target_speed`]). A target's speed is kept while other hosts hold the target,
+//! and reset when the target restarts. Ends count whichever host owns the attempt. Nothing is
+//! shared between hosts: a new holder starts with what it has learned itself.
 
 use std::collections::HashMap;
 
@@ -26,34 +25,33 @@
 use super::target::Target;
 use super::TargetLeases;
 
-/// Between forecasts of all attempts, in ms: about as often as targets list their progress.
+/// Time between forecasts of all attempts, in ms; about as often as targets list their progress.
 const FORECAST_INTERVAL_MS: Millis = 50;
-/// The most kinds of tasks whose times are kept: bounds memory against callers whose
-/// estimates and resources never repeat.
+/// The most kinds that are kept: bounds memory if callers' estimates and resources never repeat.
 const MAX_KINDS: usize = 256;
-/// A kind without ends for so long is dropped, in ms.
+/// Kinds without an end for this long are removed, in ms.
 const KIND_RETENTION_MS: Millis = 300_000;
-/// Between log lines of a kind's times, in ms.
+/// Time between log lines of a kind's running times, in ms.
 const KIND_LOG_INTERVAL_MS: Millis = 10_000;
-/// A target's speed is logged when it has changed by this factor.
+/// A target's slowdown is logged when it has changed by this factor.
 const LOGGED_CHANGE_FACTOR: f64 = 1.4;
-/// A slowdown that is more likely right than not is logged, and acted on.
+/// The least certainty at which a slowdown is logged and acted on.
 const MIN_CERTAINTY: f64 = 0.5;
 
-/// What is known of a kind of task.
+/// The running times and recent ends of a kind of task.
 #[derive(Debug)]
 struct KnownKind {
     times: RunningTimes,
     ends: RecentEnds,
 }
 
-/// What is known of the kinds of tasks that ran on this host's targets.
+/// The running times of the kinds of tasks that ran on this host's targets.
 #[derive(Debug)]
 pub(super) struct LearnedTimes {
     kinds: HashMap<TaskKind, KnownKind>,
-    /// What stands in for a kind that had no end yet.
+    /// Used for kinds without an end so far.
     default_times: RunningTimes,
-    /// What is common to all targets' slowdowns.
+    /// The part of the slowdown that is common to all targets.
     common_slowdown: f64,
     /// How many times as long tasks take in racks without their data.
     far_slowdown: f64,
@@ -61,13 +59,13 @@
     next_log: Millis,
 }
 
-/// How slow a target is.
+/// A target's learned speed.
 #[derive(Debug)]
 pub(super) struct LearnedSpeed {
     speed: TargetSpeed,
-    /// The slowdown beside other targets, with what its attempts show.
+    /// The slowdown relative to other targets, including the evidence of running attempts.
     pub(super) slowdown: Slowdown,
-    /// When an attempt last ended well there.
+    /// When an attempt last completed on the target.
     last_done: Millis,
     /// The slowdown that was logged last.
     logged_factor: f64,
@@ -84,14 +82,14 @@
         }
     }
 
-    /// Returns whether it is so surely slow that it gets one task at a time.
+    /// Returns true if the target is slow enough, with enough certainty, to get one task at a time.
     pub(super) fn is_very_slow(&self) -> bool {
         self.slowdown.factor >= ONE_TASK_SLOWDOWN && self.slowdown.certainty >= MIN_CERTAINTY
     }
 }
 
 impl LearnedTimes {
-    /// Returns what is known at the start, where the deployment asks for it.
+    /// Creates the initial state, or returns `None` if running times aren't learned.
     pub(super) fn from_settings(settings: &Settings) -> Option<Self> {
         let is_learned = settings.scheduling.running_times == RunningTimesFrom::Learned;
         is_learned.then(|| Self {
@@ -120,14 +118,14 @@
         }))
     }
 
-    /// Returns how long a task takes on an ordinary target at a ratio of 1, in ms.
+    /// Returns the running time at a ratio of 1 on a target of ordinary speed, in ms.
     fn scale_ms(&self, estimate_ms: Millis, is_far: bool) -> f64 {
         let far = if is_far { self.far_slowdown } else { 1.0 };
         usable_estimate_ms(estimate_ms) as f64 * far.max(1.0)
     }
 
-    /// Takes an end of an attempt in that is done. The kind learns what is left once the target's
-    /// slowdown is taken out, the target what its task's kind doesn't explain.
+    /// Records a completed attempt. The kind learns the ratio without the target's slowdown, the
+    /// target the part that the kind doesn't explain.
     fn record_done(&mut self, now: Millis, learned: &mut LearnedSpeed, report: &EndReport) {
         let task = &report.task;
         let ratio = report.took_ms as f64 / self.scale_ms(task.estimate_ms, task.is_far);
@@ -141,7 +139,7 @@
         }
     }
 
-    /// Takes a failed attempt in; returns whether it speaks against its target.
+    /// Records a failed attempt; returns true if the failure is attributed to the target.
     fn record_failure(&mut self, now: Millis, report: &EndReport) -> bool {
         let target = &report.end.target;
         let kind = self.kind_mut(now, &report.task.kind);
@@ -151,7 +149,7 @@
         })
     }
 
-    /// Takes in that an attempt is stopped since it took too long.
+    /// Records that an attempt is stopped because it took too long.
     pub(super) fn record_outlived(&mut self, now: Millis, attempt: &Attempt, slowdown: f64) {
         let run_ms = now.saturating_sub(attempt.started) as f64;
         let scale_ms = self.scale_ms(attempt.estimate_ms, attempt.is_far);
@@ -160,7 +158,8 @@
         }
     }
 
-    /// Returns what an attempt that still runs shows of its target, if anything.
+    /// Returns what a running attempt shows of the target's speed; `None` until the target has
+    /// confirmed the attempt.
     fn running_evidence(&self, now: Millis, attempt: &Attempt) -> Option<Running<'_>> {
         attempt.confirmed?;
         let times = self.times(&attempt.kind);
@@ -177,8 +176,9 @@
         })
     }
 
-    /// Returns what is expected of an attempt on a target of some slowdown. What overruns is
-    /// reckoned by the ends there (`shown_by_ends`): a hung attempt doesn't excuse itself.
+    /// Returns the forecast of an attempt on a target with this slowdown. The time until it is
+    /// overrunning uses the slowdown by ends alone, so that a hung attempt doesn't extend its own
+    /// limit.
     fn forecast(
         &self,
         now: Millis,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Returns what is to be logged of the kinds' times, if that is due.
+    /// Returns the running times to log, if that is due, and removes old kinds.
     fn due_log_records(&mut self, now: Millis) -> Vec<Decision> {
         if now < self.next_log {
             return Vec::new();
@@ -220,7 +220,6 @@
             .collect()
     }
 
-    /// Forgets kinds that had no end for long.
     fn remove_old_kinds(&mut self, now: Millis) {
         self.kinds
             .retain(|_, known| known.times.last_end() + KIND_RETENTION_MS > now);
@@ -239,16 +238,16 @@
 }
 
 impl Target {
-    /// Forgets how slow it was: another life began.
+    /// Resets the learned speed after a restart.
     pub(super) fn reset_speed(&mut self) {
         if let Some(learned) = &mut self.learned_speed {
             *learned = LearnedSpeed::new(TargetSpeed::default());
         }
     }
 
-    /// Returns whether an attempt that is to be tried elsewhere speaks against the target. Where
-    /// running times are learned, one that tells no progress doesn't if another one has ended
-    /// well there in the second half of its time: the target isn't hung.
+    /// Returns true if a stalled or overrunning attempt makes the target suspect. Where running
+    /// times are learned, an overrunning attempt doesn't if another attempt completed there in the
+    /// second half of its running time: the target isn't hung.
     pub(super) fn is_suspect_for(&self, now: Millis, id: &AttemptId) -> bool {
         let attempt = self.attempts.get(id);
         let (Some(learned), Some(attempt)) = (&self.learned_speed, attempt) else {
@@ -258,7 +257,7 @@
         attempt.stalled || learned.last_done + run_ms / 2 < now
     }
 
-    /// Reckons anew how slow it is, and when its attempts end.
+    /// Updates the slowdown and the forecasts of the attempts.
     fn forecast(&mut self, now: Millis, times: &LearnedTimes) {
         let Some(learned) = &mut self.learned_speed else {
             return;
@@ -275,7 +274,7 @@
         }
     }
 
-    /// Returns how slow it is, if that has changed since it was logged.
+    /// Returns a log record of the slowdown, if it has changed enough since the last one.
     fn speed_to_log(&mut self) -> Option<Decision> {
         let learned = self.learned_speed.as_mut()?;
         let slowdown = learned.slowdown;
@@ -294,8 +293,8 @@
 }
 
 impl TargetLeases {
-    /// Returns what is believed of a new target's speed, where it is learned: what is known of
-    /// those with its labels and size.
+    /// Returns the assumed speed of a new target, taken from targets with the same labels and
+    /// capacity; `None` if running times aren't learned.
     pub(super) fn initial_speed(&self, entry: &TargetEntry) -> Option<LearnedSpeed> {
         self.learned_times.as_ref()?;
         let similar = self.targets.values().filter(|other| {
@@ -334,7 +333,7 @@
         }
     }
 
-    /// Reckons anew what is expected of attempts: from time to time of all, at once of new ones.
+    /// Updates forecasts: periodically of all attempts, at once of new ones.
     pub(super) fn forecast(&mut self, now: Millis) {
         let Some(times) = &mut self.learned_times else {
             return;
--- a/crates/dispatcher-core/src/targets/lease.rs
+++ b/crates/dispatcher-core/src/targets/lease.rs
@@ -1,7 +1,7 @@
-//! A host's lease on one target: how far it has got, its fencing token, its renewals.
+//! A host's lease on one target: its stage, fencing token and renewals.
 //!
-//! The stages are those of `charts/target-lease.toml`, interpreted. The lease itself
-//! lives at the target; this is what the host knows of it.
+//! The stages are those of the state chart `charts/target-lease.toml`. The target itself keeps the
+//! lease; this is the host's view of it.
 
 use std::sync::LazyLock;
 
@@ -12,14 +12,14 @@
 use crate::Millis;
 
 chart_names! {
-    /// How far a host has got with a target's lease; see `charts/target-lease.toml`.
+    /// The stage of a host's lease on a target; see `charts/target-lease.toml`.
     LeaseStage {
-        /// Another host's, or nobody's.
+        /// Held by another host or by none.
         NotHeld = "not-held",
-        /// Its token may not be known at the target yet.
+        /// The target may not know this host's token yet.
         Acquiring = "acquiring",
-        /// Its token is known there, but attempts run that it didn't start. They are
-        /// let run until their own leases end, and nothing is started beside them.
+        /// The target knows the token, but runs attempts that this host didn't start. They may run
+        /// until their leases expire, and nothing is started beside them.
         Settling = "settling",
         /// Held: tasks may be started.
         Held = "held",
@@ -27,7 +27,7 @@
 }
 
 chart_names! {
-    /// What happens to a host's lease on a target.
+    /// An event of a host's lease on a target.
     LeaseEvent {
         /// The host sends a new token.
         Acquire = "acquire",
@@ -35,46 +35,43 @@
         OwnOnly = "own-only",
         /// The target knows the token and runs attempts that this host didn't start.
         ForeignRuns = "foreign-runs",
-        /// The host gives the target up, or loses it.
+        /// The host releases or loses the target.
         Leave = "leave",
     }
 }
 
-/// The chart of a target's lease, interpreted.
 static LEASE: LazyLock<Chart<LeaseStage, LeaseEvent>> = LazyLock::new(|| {
     Chart::parse(include_str!("../../charts/target-lease.toml"))
         .expect("the chart is part of the program and read by each test of a lease")
 });
 
-/// A host's lease on one target; times in ms of this host's clock.
+/// A host's lease on one target. Times are in ms of this host's clock.
 #[derive(Debug)]
 pub(super) struct Lease {
     pub(super) stage: LeaseStage,
-    /// The fencing token that this host's calls carry.
+    /// Carried by this host's calls.
     pub(super) token: u64,
-    /// Since when it has been held.
     held_since: Millis,
-    /// Since when it was held before another host took the target, while it is
-    /// taken back.
+    /// While the target is taken back: since when it had been held before another host took it.
     incumbent_since: Option<Millis>,
-    /// Tokens that were too low since the target was to be acquired.
+    /// The number of tokens that were too low in the present acquisition.
     tokens_tried: u32,
     /// How often the target was lost to another host.
     claims_lost: u32,
-    /// The target is left alone before this time.
+    /// The target isn't acquired before this time.
     pub(super) backoff_until: Millis,
-    /// The renewal that is on its way.
+    /// The renewal in flight.
     pub(super) renewal: Option<CallId>,
-    /// The next renewal isn't sent before this time.
+    /// The earliest time of the next renewal.
     pub(super) next_renewal: Millis,
-    /// Ends up to this number are acknowledged with the next renewal.
+    /// The number of the last end that the next renewal acknowledges.
     pub(super) acknowledged: u64,
-    /// By then all attempts at the target are over if no renewal follows.
+    /// The time by which all attempts at the target have ended if no renewal follows.
     attempts_expire_at: Millis,
 }
 
 impl Lease {
-    /// A lease that this host doesn't hold.
+    /// Creates a lease that this host doesn't hold.
     pub(super) fn not_held() -> Self {
         Self {
             stage: LEASE.initial(),
@@ -91,24 +88,23 @@
         }
     }
 
-    /// Returns whether this host holds it.
     pub(super) fn is_held(&self) -> bool {
         self.stage == LeaseStage::Held
     }
 
-    /// Returns whether this host neither holds nor acquires it.
+    /// Returns true if this host neither holds nor acquires the lease.
     pub(super) fn is_free(&self) -> bool {
         self.stage == LeaseStage::NotHeld
     }
 
-    /// Begins to acquire it.
+    /// Starts to acquire the lease.
     pub(super) fn acquire(&mut self, now: Millis, token: u64) {
         self.restart_acquisition(now, token);
         self.tokens_tried = 0;
         self.incumbent_since = None;
     }
 
-    /// Acquires it again from the host that took the target.
+    /// Starts to take the lease back from the host that took the target.
     pub(super) fn take_back(&mut self, now: Millis, token: u64, forget_losses: bool) {
         if forget_losses {
             self.claims_lost = 0;
@@ -118,14 +114,14 @@
         self.restart_acquisition(now, token);
     }
 
-    /// Acquires it of a new life of the target under the same id.
+    /// Starts to acquire the lease of a new incarnation of the target.
     pub(super) fn reacquire_after_restart(&mut self, now: Millis, token: u64) {
         self.incumbent_since = self.is_held().then_some(self.held_since);
         self.tokens_tried = 0;
         self.restart_acquisition(now, token);
     }
 
-    /// Carries a later token from here on, while the target may not know the present one.
+    /// Uses a later token from now on, while the target may not know the present one.
     pub(super) fn refresh_token(&mut self, token: u64) {
         self.token = token;
     }
@@ -141,28 +137,28 @@
         LEASE.advance(&mut self.stage, LeaseEvent::Acquire);
         self.token = token;
         self.next_renewal = now;
-        // A call that went out before tells nothing of what came since.
+        // The reply to an earlier call shows nothing about the new token.
         self.renewal = None;
-        // Nor is it known whose ends these are: the target may have started again, and numbered
-        // them anew for another host (the simulator with targets that restart, seed 3).
+        // The target may have restarted and numbered its ends anew for another host, so that
+        // acknowledging the earlier number could discard unreported ends.
         self.acknowledged = 0;
     }
 
-    /// Gives it up.
+    /// Releases the lease.
     pub(super) fn release(&mut self) {
         LEASE.advance(&mut self.stage, LeaseEvent::Leave);
         self.renewal = None;
     }
 
-    /// Loses it to another host, and backs off.
+    /// Records the loss of the lease to another host, and backs off.
     pub(super) fn lose(&mut self, now: Millis) {
         self.backoff_until = now + contention::backoff_ms(self.claims_lost);
         self.claims_lost += 1;
         self.release();
     }
 
-    /// Records that the target has this host's token; `settled` says that it
-    /// runs nothing that this host didn't start.
+    /// Records that the target has this host's token. `settled` is true if it runs nothing that
+    /// this host didn't start.
     pub(super) fn confirm_token(&mut self, now: Millis, settled: bool) {
         let was_held = self.is_held();
         let event = if settled {
@@ -176,7 +172,7 @@
         }
     }
 
-    /// Returns how far this host has got, if it holds or acquires the lease.
+    /// Returns the state of the claim, if this host holds or acquires the lease.
     pub(super) fn claim(&self) -> Option<Claim> {
         match self.stage {
             LeaseStage::NotHeld => None,
@@ -190,33 +186,31 @@
         }
     }
 
-    /// Records that attempts at the target may run until then.
+    /// Records that attempts at the target may run until this time.
     pub(super) fn extend(&mut self, attempts_expire_at: Millis) {
         self.attempts_expire_at = self.attempts_expire_at.max(attempts_expire_at);
     }
 
-    /// Returns whether all attempts at the target are over.
+    /// Returns true if all attempts at the target have ended.
     pub(super) fn have_attempts_expired(&self, now: Millis) -> bool {
         self.attempts_expire_at < now
     }
 }
 
-/// Makes fencing tokens that grow with time and differ from host to host.
+/// Generates fencing tokens that grow with time and differ between hosts.
 #[derive(Debug)]
 pub(super) struct TokenGenerator {
-    /// Wall-clock time in ms since 1970 at which this host's clock was 0.
+    /// Wall-clock time at zero of this host's clock, in ms since 1970.
     epoch_ms: u64,
-    /// The part that tells this host's tokens from others'.
+    /// Distinguishes this host's tokens from other hosts'.
     host_part: u64,
     last: u64,
 }
 
-/// Tokens grow by one step in this time, in ms: together with [`HOST_PARTS`] it
-/// keeps them below 2^53, the largest integer that a double holds exactly. They
-/// reach it in the year 2109.
+/// Tokens grow by one step per this time, in ms. With [`HOST_PARTS`] they stay below 2^53, the
+/// largest integer that a double holds exactly, until the year 2109.
 const TOKEN_STEP_MS: u64 = 4;
-/// How many hosts' tokens differ; a few dozen share a hall. Chosen, not
-/// measured.
+/// The number of distinct host parts; a few dozen hosts share a hall.
 const HOST_PARTS: u64 = 1 << 13;
 
 impl TokenGenerator {
@@ -228,8 +222,7 @@
         }
     }
 
-    /// Returns a token above all earlier ones of this host, as it belongs to a
-    /// time.
+    /// Returns a token for a time, above all earlier ones of this host.
     pub(super) fn next(&mut self, time: Millis) -> u64 {
         let by_time = (self.epoch_ms + time) / TOKEN_STEP_MS;
         let next = by_time.max(self.last / HOST_PARTS + 1);
--- a/crates/dispatcher-core/src/targets/list.rs
+++ b/crates/dispatcher-core/src/targets/list.rs
@@ -1,10 +1,10 @@
-//! The platform's list of targets, as far as this host heard it.
+//! The platform's list of targets, as this host knows it.
 //!
-//! An entry that goes missing while the store is out, or just back, says nothing: the
-//! target is used as long as it answers.
+//! While the store is unreachable, or has only just become reachable, a missing entry doesn't mean
+//! that the target was removed: the target is used as long as it answers.
 //!
-//! An entry that is unusable takes a known target out of use as one that leaves: what runs
-//! there goes on. Of a target that isn't known it names none.
+//! An unusable entry takes a known target out of use as if it were leaving: its attempts continue.
+//! An unusable entry of an unknown target is ignored.
 
 use std::collections::HashSet;
 
@@ -17,18 +17,18 @@
 use super::target::Target;
 use super::TargetLeases;
 
-/// Entries that are missing when the store is back are gone after this, in ms: targets may write
-/// them again before.
+/// Entries still missing this long after the store became reachable are removed, in ms: targets may
+/// restore their entries before.
 const SETTLE_AFTER_OUTAGE_MS: Millis = 2_000;
 
-/// Whether the store answers, as far as this host knows.
+/// The known state of the store.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StoreState {
     reachable: bool,
-    /// When it last came back; 0 if it was never lost.
+    /// When the store last became reachable again; 0 if it was never lost.
     reachable_since: Millis,
-    /// Whether the list is settled at the host that told it, if another one did since this
-    /// host last read.
+    /// Whether the list is settled at another host, if one has sent the list since this host last
+    /// read the store.
     reported_settled: Option<bool>,
 }
 
@@ -43,8 +43,9 @@
 }
 
 impl StoreState {
-    /// Returns whether a target that isn't listed is gone. With the store out, or
-    /// back only now, its silence in the list says nothing.
+    /// Returns true if a missing entry means that the target was removed; false while the store is
+    /// unreachable or has only just returned. Another host's report takes precedence over this
+    /// host's own state of the store.
     pub(super) fn list_is_settled(&self, now: Millis) -> bool {
         let read_settled = self.reachable && self.reachable_since + SETTLE_AFTER_OUTAGE_MS <= now;
         self.reported_settled.unwrap_or(read_settled)
@@ -52,7 +53,7 @@
 }
 
 impl TargetLeases {
-    /// Records whether the store answers.
+    /// Records whether the store is reachable.
     pub fn set_store_reachable(&mut self, now: Millis, reachable: bool) {
         if reachable && !self.store.reachable {
             self.store.reachable_since = now;
@@ -61,25 +62,24 @@
         self.store.reported_settled = None;
     }
 
-    /// Returns whether a target that isn't listed is gone.
+    /// Returns true if a missing entry means that the target was removed.
     #[must_use]
     pub fn list_is_settled(&self, now: Millis) -> bool {
         self.store.list_is_settled(now)
     }
 
-    /// Records whether a target that isn't listed is gone, as another host told that
-    /// reads the store.
+    /// Records whether the list is settled at another host that reads the store.
     pub fn set_reported_settled(&mut self, settled: bool) {
         self.store.reported_settled = Some(settled);
     }
 
-    /// Returns whether the store answers.
+    /// Returns true if the store is reachable, as far as this host knows.
     #[must_use]
     pub fn is_store_reachable(&self) -> bool {
         self.store.reachable
     }
 
-    /// Handles changes of the list.
+    /// Applies changes of the list.
     pub fn apply_list_changes(&mut self, now: Millis, changes: Vec<TargetChange>) {
         for change in changes {
             match change {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Handles the whole list.
+    /// Applies a full list: targets that it doesn't show are unlisted.
     pub fn replace_list(&mut self, now: Millis, list: TargetList) {
         let listed: Vec<TargetChange> = list.into_changes().collect();
         let ids = listed.iter().map(|change| change.id().clone());
@@ -125,7 +125,7 @@
         self.record_capacity(&id, capacity, BeliefSource::List);
     }
 
-    /// Takes a known target out of use whose entry names none any more.
+    /// Takes a known target out of use because its entry became unusable.
     fn mark_entry_unusable(&mut self, id: &Name) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Forgets targets that aren't listed and on which nothing can run any more.
+    /// Removes targets that aren't listed and on which nothing can run any more.
     pub(super) fn remove_unlisted(&mut self, now: Millis) {
         if !self.store.list_is_settled(now) {
             return;
--- a/crates/dispatcher-core/src/targets/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -1,11 +1,10 @@
 //! The targets, and the leases on them that this host holds.
 //!
-//! [`TargetLeases`] knows all targets of the platform's list, acquires and holds
-//! the leases of those that are assigned to this host, starts and stops attempts
-//! there and learns of their ends. What it decides by stands in [`crate::rules`]:
-//! target choice and health, assignment, contention, leases. It relies on the
-//! dispatcher to tell owners of the ends in [`TargetLeases::take_reports`] and to
-//! carry out [`TargetLeases::take_actions`].
+//! [`TargetLeases`] knows all targets of the platform's list, acquires and holds the leases of the
+//! targets assigned to this host, starts and stops attempts on them and collects their ends. Its
+//! decisions follow [`crate::rules`]: target choice and health, assignment, contention, leases. It
+//! relies on the dispatcher to send the ends in [`TargetLeases::take_reports`] to their owners and
+//! to carry out the actions in [`TargetLeases::take_actions`].
 
 mod attempt;
 mod capacity;
@@ -48,52 +47,53 @@
 use target::Target;
 pub use usable::Runnable;
 
-/// How long a reply from a target is awaited, its own waiting aside, in ms.
+/// How long a reply from a target is awaited, in ms, in addition to its long poll.
 const REPLY_TIMEOUT_MS: Millis = 100;
-/// Between calls to a target that doesn't answer, in ms.
+/// Time between calls to a target that doesn't answer, in ms.
 const SILENT_RETRY_INTERVAL_MS: Millis = 100;
 
-/// What ends within this is about to, in ms: a task that comes now may as well wait for it.
+/// Attempts expected to end within this time count as freeing their resources soon, in ms.
 pub const FREED_SOON_MS: Millis = 100;
 
-/// A call that is on its way to a target.
+/// A call in flight to a target.
 #[derive(Clone, Debug)]
-struct Sent {
-    /// The fencing token that it carries.
+struct PendingCall {
+    /// The fencing token that the call carries.
     token: u64,
-    /// The target's clock as last heard before.
+    /// The target's last known clock when the call was sent.
     clock: Option<Millis>,
-    /// Whether this host stood still since: the reply may be old.
+    /// True if this host was suspended after sending: the reply may be old.
     sent_before_suspension: bool,
     target: Name,
     purpose: Purpose,
 }
 
-/// What a call to a target is for.
+/// The purpose of a call to a target.
 #[derive(Clone, Debug)]
 enum Purpose {
     Renewal {
-        /// When it was sent.
+        /// When the call was sent.
         requested: Millis,
     },
     Start(AttemptId),
     Stop(AttemptId),
 }
 
-/// How many targets there are.
+/// Counts of targets and attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetCounts {
     /// Targets in the list.
     pub known: usize,
     /// Targets whose leases this host holds or acquires.
     pub leased: usize,
-    /// Attempts on them.
+    /// Attempts on targets that this host holds, or that it released while its attempts may still
+    /// run.
     pub attempts: usize,
-    /// Thousandths of a core that these are expected to free within [`FREED_SOON_MS`].
+    /// Thousandths of a core that these attempts are expected to free within [`FREED_SOON_MS`].
     pub cpu_freed_soon: u32,
 }
 
-/// The targets, and the leases on them that this host holds.
+/// The known targets and the leases on them that this host holds.
 pub struct TargetLeases {
     times: Times,
     safeguards: Safeguards,
@@ -102,36 +102,36 @@
     targets: BTreeMap<Name, Target>,
     /// The targets whose leases this host holds or acquires.
     leased: BTreeSet<Name>,
-    /// These, and those given up on which attempts of this host may still run: all that
-    /// anything may be due for. Looking at all known targets at each tick would cost too much.
+    /// The leased targets and the released ones on which attempts of this host may still run.
+    /// Periodic work covers only these: visiting all known targets would cost too much.
     active: BTreeSet<Name>,
     /// The targets that the list doesn't show.
     unlisted: BTreeSet<Name>,
-    /// The pools that the configuration names, once there is one.
+    /// The pools that the configuration names; `None` before there is a configuration.
     pools: Option<HashSet<Name>>,
     /// The halls that get no new tasks.
     draining: Halls,
-    /// What is added to the time for which replies are waited for; see
-    /// [`crate::rules::congestion`].
+    /// Added to the timeouts of replies, in ms; see [`crate::rules::congestion`].
     added_wait_ms: Millis,
     start_replies: StartReplies,
-    /// The running times of kinds of tasks, where they are learned.
+    /// The running times of kinds of tasks, if they are learned.
     learned_times: Option<LearnedTimes>,
     assignment: Assignment,
     tokens: TokenGenerator,
     /// The tasks with an attempt on any target.
     tasks: HashSet<Name>,
-    /// Attempts that were stopped before they came, and until when that is known.
+    /// Attempts that were stopped before their start was requested, and until when they are
+    /// remembered.
     stopped_early: HashMap<AttemptId, Millis>,
     store: StoreState,
-    calls: HashMap<CallId, Sent>,
+    calls: HashMap<CallId, PendingCall>,
     last_call: u64,
     reports: Vec<EndReport>,
     actions: Vec<Action>,
 }
 
 impl TargetLeases {
-    /// Creates a host's part without targets.
+    /// Creates the state of a host without targets.
     #[must_use]
     pub fn new(settings: &Settings, times: Times) -> Self {
         Self {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Performs the work that is due.
     pub fn tick(&mut self, now: Millis) {
         self.stopped_early.retain(|_, until| *until > now);
         self.remove_inactive();
@@ -171,7 +171,7 @@
         self.send_stops(now);
     }
 
-    /// Takes the ends of attempts that owners are to hear of.
+    /// Takes the ends of attempts that are to be reported to their owners.
     pub fn take_reports(&mut self) -> Vec<EndReport> {
         for report in &self.reports {
             self.tasks.remove(&report.end.id.task);
@@ -184,7 +184,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns how many targets there are, and attempts on them.
+    /// Counts the targets and the attempts on them.
     #[must_use]
     pub fn counts(&self, now: Millis) -> TargetCounts {
         let targets = self.active_targets();
@@ -197,43 +197,39 @@
         }
     }
 
-    /// Returns how many attempts run on targets.
+    /// Returns the number of attempts on targets.
     #[must_use]
     pub fn attempts(&self) -> usize {
         let targets = self.active_targets();
         targets.map(|(_, target)| target.attempts.len()).sum()
     }
 
-    /// Returns whether any attempt runs on a target, or has an end that no one took yet.
-    /// Asked after each event: looking at all targets instead would cost too much.
+    /// Returns true if any attempt runs, or has ended without being taken by
+    /// [`Self::take_reports`]. Called after each event, so that it doesn't visit the targets.
     #[must_use]
     pub fn has_attempts(&self) -> bool {
         !self.tasks.is_empty()
     }
 
-    /// Returns whether this host holds the lease of any target.
     #[must_use]
     pub fn holds_any_lease(&self) -> bool {
         self.leased_targets().any(|target| target.lease.is_held())
     }
 
-    /// Returns the targets whose leases this host holds or acquires.
     #[must_use]
     pub fn leased(&self) -> Vec<Name> {
         self.leased.iter().cloned().collect()
     }
 
-    /// Waits longer for replies by so many ms.
+    /// Sets the time that is added to the timeouts of replies, in ms.
     pub fn set_added_wait(&mut self, added_ms: Millis) {
         self.added_wait_ms = added_ms;
     }
 
-    /// Returns the targets for which anything may be due.
     fn active_targets(&self) -> impl Iterator<Item = (&Name, &Target)> {
         self.active.iter().map(|id| (id, &self.targets[id]))
     }
 
-    /// Changes the targets for which anything may be due.
     fn for_each_active(&mut self, mut change: impl FnMut(&mut Target)) {
         for id in &self.active {
             let target = self.targets.get_mut(id);
@@ -241,7 +237,7 @@
         }
     }
 
-    /// Drops targets from the active ones that were given up and on which nothing runs.
+    /// Removes released targets on which nothing runs from the active ones.
     fn remove_inactive(&mut self) {
         let targets = &self.targets;
         self.active.retain(|id| {
@@ -250,12 +246,15 @@
         });
     }
 
-    /// Returns the targets whose leases this host holds or acquires.
     fn leased_targets(&self) -> impl Iterator<Item = &Target> {
         self.leased.iter().map(|id| &self.targets[id])
     }
 
-    /// Calls a target; `id` is a known target.
+    /// Calls a target.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the target isn't known.
     fn call(&mut self, id: &Name, purpose: Purpose, order: TargetCall, wait_ms: Millis) -> CallId {
         self.last_call += 1;
         let call = CallId(self.last_call);
@@ -270,14 +269,14 @@
             order,
             wait_ms,
         });
-        let sent = Sent {
+        let pending = PendingCall {
             token,
             clock: target.last_clock(),
             sent_before_suspension: false,
             target: id.clone(),
             purpose,
         };
-        self.calls.insert(call, sent);
+        self.calls.insert(call, pending);
         call
     }
 
--- a/crates/dispatcher-core/src/targets/renewals.rs
+++ b/crates/dispatcher-core/src/targets/renewals.rs
@@ -1,5 +1,5 @@
-//! Renewals of targets' leases: they keep attempts running, and bring back what
-//! runs and what has ended.
+//! Renewals of targets' leases. They keep attempts running, and their replies list running and
+//! ended attempts.
 
 use gannetridge_wire::Name;
 
@@ -12,13 +12,12 @@
 use super::target::Target;
 use super::{Purpose, TargetLeases, REPLY_TIMEOUT_MS};
 
-/// How long a target may wait for an end before it answers a renewal, where an end is awaited that
-/// other news may show, in ms.
+/// How long a renewal may wait at the target for an end, in ms, while an end is awaited that a new
+/// listing may show earlier.
 const AWAITED_END_POLL_MS: Millis = 20;
 
 impl TargetLeases {
-    /// Ends attempts on targets whose lease expired: nothing of them can run any
-    /// more.
+    /// Ends attempts on targets whose lease has expired: none of them can run any more.
     pub fn end_expired(&mut self, now: Millis) {
         for id in &self.active {
             let gone_by = self.gone_by(now, &self.targets[id]);
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Renews leases and asks for news, where no such call is on its way.
+    /// Sends due renewals to targets without one in flight.
     pub fn send_renewals(&mut self, now: Millis) {
         let leased = self.leased.iter();
         let due = leased.filter(|id| {
@@ -57,7 +56,8 @@
     fn send_renewal(&mut self, now: Millis, id: &Name) {
         self.refresh_token(now, id);
         let target = &self.targets[id];
-        // What is left to the lease would run on with what runs beside it.
+        // Extending the lease for other attempts would also extend it for the one whose stop isn't
+        // confirmed.
         let renews = extends_lease(target) && !self.lets_lease_expire(target);
         let target = self.targets.get_mut(id).expect("the target was found");
         let until = if renews {
@@ -77,9 +77,9 @@
         target.lease.renewal = Some(call);
     }
 
-    /// Has a call that acquires a target carry a token of its own time. The target may have started
-    /// again since the last one was sent: its new life would take one that is older than another
-    /// holder's, and then that holder's too.
+    /// Uses a fresh token for a call that acquires a target. The target may have restarted since
+    /// the last call: its new incarnation would accept a token older than another holder's, and
+    /// then that holder's as well.
     fn refresh_token(&mut self, now: Millis, id: &Name) {
         let lease = &self.targets[id].lease;
         if lease.stage != LeaseStage::Acquiring || !self.safeguards.acquiring_tokens_are_fresh {
@@ -92,25 +92,23 @@
     }
 }
 
-/// Returns whether a renewal is to extend the lease on what runs at a target, or only
-/// to ask for news.
+/// Returns true if a renewal is to extend the lease, false if it only requests a listing.
 ///
-/// What a new holder finds is nobody's: its lease isn't extended. Nor are this host's
-/// own attempts as long as it doesn't know what others run beside them. Of a silent
-/// target each renewal may have arrived, so that one that extends the lease puts off
-/// the time at which its attempts are over for certain (`tests/target_leases.rs`).
+/// A new holder doesn't extend the lease of attempts that it finds, nor of its own attempts until
+/// it knows what other hosts run beside them. Each renewal to a silent target may have arrived, so
+/// that extending its lease would delay the time at which its attempts have ended for certain.
 ///
-/// After a call without reply the target may have started again with a clock that began anew: it
-/// would take a time of the old clock for the longest lease that it grants, on all that it runs
-/// from then on. Guards against a holder that takes such attempts for over while they run.
+/// After a call without reply the target may have restarted with a new clock. It would then take a
+/// time on its previous clock for the longest lease that it grants. Guards against a holder that
+/// takes attempts for ended while they run.
 fn extends_lease(target: &Target) -> bool {
     let runs_any = !target.is_idle() && !target.has_unsent_starts();
     target.lease.is_held() && runs_any && target.is_incarnation_certain()
 }
 
-/// Returns up to which number ends are acknowledged. After a call without reply the target may
-/// have started again, and number its ends anew: those of its new life that nobody has heard of
-/// would be forgotten.
+/// Returns the number up to which ends are acknowledged. After a call without reply the target may
+/// have restarted and numbered its ends anew: acknowledging the earlier number would discard ends
+/// that weren't received.
 fn acknowledged(target: &Target) -> u64 {
     if target.is_incarnation_certain() {
         target.lease.acknowledged
@@ -119,7 +117,7 @@
     }
 }
 
-/// Returns how long a target may wait for an end before it answers, in ms.
+/// Returns how long a renewal may wait at the target for an end, in ms.
 fn long_poll_ms(target: &Target, longest: Millis) -> Millis {
     let silent = target.health.silent_since().is_some();
     let acquiring = target.lease.stage == LeaseStage::Acquiring;
@@ -133,10 +131,10 @@
     }
 }
 
-/// Returns whether a renewal is to be sent now.
+/// Returns true if a renewal is to be sent now.
 ///
-/// A target with attempts gets one as soon as nothing stands against it; only one
-/// that doesn't answer, or is idle, has a time to wait for.
+/// A target that answers is renewed without delay while it has attempts or an end is awaited there,
+/// unless it is being acquired. Others are renewed at their next renewal time.
 fn is_renewal_due(target: &Target, now: Millis) -> bool {
     let busy = !target.is_idle() || target.awaits_end();
     let answers = target.health.silent_since().is_none();
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -1,7 +1,7 @@
-//! What targets reply to renewals, starts and stops.
+//! Handles targets' replies to renewals, starts and stops.
 //!
-//! A call without reply may have been carried out, or be carried out later: a start
-//! without reply counts as running until a listing shows otherwise.
+//! A call without reply may have been carried out, or may be carried out later. A start without
+//! reply counts as running until a listing shows otherwise.
 
 use gannetridge_wire::Name;
 
@@ -13,40 +13,40 @@
 use super::ends::Listing;
 use super::incarnations::accepted_call_clock;
 use super::lease::LeaseStage;
-use super::{Purpose, Sent, TargetLeases, SILENT_RETRY_INTERVAL_MS};
+use super::{PendingCall, Purpose, TargetLeases, SILENT_RETRY_INTERVAL_MS};
 
-/// Between renewals of a target on which nothing runs, in ms.
+/// Time between renewals of a target on which nothing runs, in ms.
 const IDLE_RENEWAL_INTERVAL_MS: Millis = 3_000;
-/// Between tries at a target that doesn't answer and isn't held, in ms.
+/// Time between attempts to acquire a target that doesn't answer, in ms.
 const ACQUIRE_RETRY_INTERVAL_MS: Millis = 500;
 
 impl TargetLeases {
-    /// Handles a target's reply, or that there is none.
+    /// Handles a target's reply, or the failure of the call.
     pub fn handle_reply(
         &mut self,
         now: Millis,
         call: CallId,
         reply: Result<TargetReply, SendFailure>,
     ) {
-        let Some(sent) = self.calls.remove(&call) else {
+        let Some(pending) = self.calls.remove(&call) else {
             return;
         };
         match &reply {
-            Ok(reply) => self.detect_restart(now, &sent, reply),
+            Ok(reply) => self.detect_restart(now, &pending, reply),
             Err(SendFailure::Refused) => {
-                if let Some(target) = self.targets.get_mut(&sent.target) {
+                if let Some(target) = self.targets.get_mut(&pending.target) {
                     target.refuses_since.get_or_insert(now);
                 }
             }
             Err(SendFailure::NotSent | SendFailure::Unknown) => {}
         }
-        let Sent {
+        let PendingCall {
             token,
             target,
             purpose,
             sent_before_suspension,
             ..
-        } = sent;
+        } = pending;
         match purpose {
             Purpose::Renewal { requested } => {
                 self.handle_renewal_reply(now, call, &target, requested, reply)
@@ -65,9 +65,8 @@
         }
     }
 
-    /// Takes the clock that a reply to a start or a stop tells. A call with an earlier token may
-    /// have come to another life of the target, and a reply from before this host stood still
-    /// tells of the past.
+    /// Records the clock in a reply to a start or a stop. A call with an earlier token may have
+    /// reached another incarnation, and a reply from before this host was suspended is out of date.
     fn record_reply_clock(
         &mut self,
         now: Millis,
@@ -95,7 +94,7 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        // A call from before the lease was acquired anew tells nothing of it.
+        // A call from before the lease was acquired anew shows nothing about it.
         if target.lease.renewal != Some(call) {
             return;
         }
@@ -123,7 +122,7 @@
                 self.token_superseded(now, id, token);
             }
             Ok(TargetReply::WrongIncarnation) => self.handle_wrong_incarnation(now, id),
-            // It answers, if not to the point: a later renewal shows more.
+            // The target answers, but without a listing; a later renewal may bring one.
             Ok(_) => target.lease.next_renewal = now + SILENT_RETRY_INTERVAL_MS,
             Err(_) => self.handle_missed_reply(now, id, BeliefSource::Renewal),
         }
@@ -140,8 +139,9 @@
         target.lease.next_renewal = now + if idle { IDLE_RENEWAL_INTERVAL_MS } else { 0 };
         let acquired = target.lease.is_held() && !was_held;
         if acquired && self.safeguards.earlier_leases_are_reckoned {
-            // Before it knew this host's token, a new life of the target may have taken a time of
-            // its old clock from another host, and granted the longest lease on all that runs there.
+            // Before it knew this host's token, a new incarnation of the target may have received a
+            // deadline on its previous clock from another host, and granted its longest lease to
+            // all its attempts.
             target.lease.extend(now + self.times.longest_attempts_over);
         }
         if was_silent {
@@ -155,14 +155,14 @@
         self.resolve_unsent_starts(now, id);
     }
 
-    /// Records that a call had no reply.
+    /// Handles a call without reply.
     fn handle_missed_reply(&mut self, now: Millis, id: &Name, by: BeliefSource) {
         self.end_unsent(now, id);
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
         if !target.record_missed_reply(now) {
-            // One lost answer is not silence.
+            // A single lost reply doesn't make a target silent.
             target.lease.next_renewal = now;
             return;
         }
@@ -178,8 +178,7 @@
         }
     }
 
-    /// Learns how long replies to starts take. One to a start from before this host stood still
-    /// doesn't show it.
+    /// Learns the reply times of starts.
     fn observe_start_reply(
         &mut self,
         now: Millis,
--- a/crates/dispatcher-core/src/targets/starts.rs
+++ b/crates/dispatcher-core/src/targets/starts.rs
@@ -11,32 +11,32 @@
 use super::target::Target;
 use super::{Owner, Purpose, TargetLeases};
 
-/// How long resources are reserved for a peer at most, in ms.
+/// The longest reservation of resources for a peer, in ms.
 const MAX_RESERVATION_MS: Millis = 30;
 
-/// On which targets a task may be started.
+/// The targets on which a task may be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// On those near its data.
+    /// Targets near the task's data.
     Near,
-    /// On any.
+    /// Any target.
     Anywhere,
-    /// On those on which nothing else runs; nothing will beside it. See
+    /// Targets on which nothing else runs, and nothing is started beside the task; see
     /// [`crate::rules::crashes`].
     Alone,
 }
 
 impl TargetLeases {
-    /// Returns whether a task may be started here: it isn't running here, and wasn't stopped
-    /// before it came.
+    /// Returns true if a task may be started here: it has no attempt here, and this attempt wasn't
+    /// stopped before its start was requested.
     #[must_use]
     pub fn may_start(&self, order: &TaskOrder) -> bool {
-        let known = self.tasks.contains(&order.id.task);
-        !known && !self.stopped_early.contains_key(&order.id)
+        let has_attempt = self.tasks.contains(&order.id.task);
+        !has_attempt && !self.stopped_early.contains_key(&order.id)
     }
 
-    /// Starts a task if a target has the resources for it; see [`target_choice`].
-    /// Returns whether it did.
+    /// Starts a task on a target with the resources for it; see [`target_choice`]. Returns false if
+    /// there is none.
     ///
     /// `urgency` is that of the task's queue, as far as it is known.
     pub fn start(
@@ -113,11 +113,12 @@
         self.call(target_id, Purpose::Start(id.clone()), start, wait_ms);
     }
 
-    /// Reserves free resources for a peer with a demand; returns what is reserved.
+    /// Reserves the free resources of one target for a peer with a demand. Returns the reserved
+    /// resources.
     pub fn reserve(&mut self, now: Millis, peer: &Name, demand: &Demand) -> Option<FreeResources> {
         let fitting = self.usable_targets(now).filter(|target| {
-            let pool = target.entry.pool == demand.pool;
-            !target.is_reserved() && pool && target.free().fits(&demand.smallest)
+            let is_in_pool = target.entry.pool == demand.pool;
+            !target.is_reserved() && is_in_pool && target.free().fits(&demand.smallest)
         });
         let freest = fitting.max_by_key(|target| target.free().cpu)?;
         let (id, free) = (freest.entry.id.clone(), freest.free_in_pool());
@@ -126,7 +127,7 @@
         Some(free)
     }
 
-    /// Ends what is reserved for a peer.
+    /// Cancels the reservations for a peer.
     pub fn cancel_reservations(&mut self, peer: &Name) {
         self.for_each_active(|target| target.end_reservation(peer));
     }
--- a/crates/dispatcher-core/src/targets/stops.rs
+++ b/crates/dispatcher-core/src/targets/stops.rs
@@ -1,7 +1,7 @@
 //! Stops of attempts.
 //!
-//! A stop is sent until the target has carried it out; the attempt counts as running
-//! until its end is listed. One that is stopped before it came is never started.
+//! A stop is sent until the target confirms it; the attempt counts as running until its end is
+//! listed. An attempt that is stopped before its start is requested is never started.
 
 use gannetridge_wire::Name;
 
@@ -12,8 +12,8 @@
 
 use super::{OwnerSession, Purpose, TargetLeases, REPLY_TIMEOUT_MS, SILENT_RETRY_INTERVAL_MS};
 
-/// How long it is remembered that an attempt was stopped before it came, in ms: a request to start
-/// it may be on its way.
+/// How long a stop of an unknown attempt is remembered, in ms: the request to start it may be in
+/// flight.
 const STOPPED_EARLY_RETENTION_MS: Millis = 3_000;
 
 /// An attempt that is being stopped.
@@ -23,10 +23,10 @@
 }
 
 impl TargetLeases {
-    /// Stops attempts that their owner no longer wants; `report` tells whether it
-    /// wants to know of their ends.
+    /// Stops attempts that their owner no longer wants. `report` is true if the owner wants reports
+    /// of their ends.
     ///
-    /// Returns those that aren't here; they are never started.
+    /// Returns the attempts that aren't here; they are never started.
     pub fn stop(
         &mut self,
         now: Millis,
@@ -58,7 +58,7 @@
         missing
     }
 
-    /// Returns the target at which an owner's attempt runs.
+    /// Returns the target that has an owner's attempt.
     fn target_with(&self, id: &AttemptId, owner: &Name) -> Option<Name> {
         let mut targets = self.active_targets();
         let found = targets.find(|(_, target)| {
@@ -68,9 +68,9 @@
         found.map(|(target_id, _)| target_id.clone())
     }
 
-    /// Stops all attempts of an owner that belong to sessions before `session`: also those
-    /// of an earlier incarnation that had the same number. Guards against two runs of a task
-    /// at once after an owner died and was back within its lease, which renewed it.
+    /// Stops all attempts of an owner that belong to sessions before `session`, also those of an
+    /// earlier incarnation with the same session number. Guards against two concurrent attempts of
+    /// a task after the owner restarted within its lease and renewed it.
     pub fn stop_earlier_sessions(
         &mut self,
         now: Millis,
@@ -98,7 +98,7 @@
         self.send_stops(now);
     }
 
-    /// Stops attempts that overrun or stand still, and suspends their targets.
+    /// Stops attempts that overrun or stall, and suspends the targets that they make suspect.
     pub(super) fn stop_stalled_or_overrunning(&mut self, now: Millis) {
         for target_id in self.active.clone() {
             let target = self.targets.get_mut(&target_id);
@@ -132,8 +132,8 @@
         self.actions.extend(records);
     }
 
-    /// Sends the stops that are to be sent. A target that hasn't answered for a
-    /// while is asked by its renewals alone.
+    /// Sends pending stops. Targets that have been silent for a while are skipped: only renewals
+    /// are sent to them.
     pub(super) fn send_stops(&mut self, now: Millis) {
         let mut stops = Vec::new();
         for (target_id, target) in self.active_targets() {
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -1,5 +1,5 @@
-//! One target as this host sees it: its entry in the list, the lease on it, its health,
-//! its clock, and the attempts that this host started there.
+//! A host's view of one target: its entry in the list, its lease, health and clock, and the
+//! attempts that this host started there.
 
 use std::collections::BTreeMap;
 
@@ -21,54 +21,54 @@
 use super::lease::{Lease, LeaseStage};
 use super::REPLY_TIMEOUT_MS;
 
-/// What a target's clock showed, and when on this host's clock.
+/// A reading of a target's clock, and when it was received on this host's clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     received: Millis,
     clock: Millis,
 }
 
-/// Resources that are kept free for a peer.
+/// Free resources reserved for a peer.
 #[derive(Clone, Debug)]
 struct Reservation {
     peer: Name,
     until: Millis,
 }
 
-/// One target as this host sees it.
+/// A host's view of one target.
 #[derive(Debug)]
 pub(super) struct Target {
-    /// What the platform's list says of it, but for the capacity: that which is in force.
+    /// The last usable entry in the platform's list, with the capacity in force instead of its own.
     pub(super) entry: TargetEntry,
     pub(super) capacity: Capacity,
-    /// Since when the list doesn't show it, if it doesn't.
+    /// Since when the list hasn't shown the target; `None` while it is listed.
     pub(super) unlisted_since: Option<Millis>,
-    /// Whether its entry names no target to use; `entry` is the last one that did.
+    /// True if the target's present entry is unusable.
     pub(super) entry_unusable: bool,
     pub(super) lease: Lease,
     pub(super) health: TargetHealth,
-    /// How slow it is, where running times are learned.
+    /// The learned speed; `None` if running times aren't learned.
     pub(super) learned_speed: Option<LearnedSpeed>,
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
     clock: Option<ClockReading>,
-    /// Until when this host last extended the lease, on the target's clock.
+    /// The end of the lease as this host last extended it, on the target's clock.
     extended_until: Option<Millis>,
-    /// When the life began that listed last, if it tells.
+    /// The start time of the incarnation that sent the last listing, if it was reported.
     pub(super) incarnation_start: Option<Born>,
     reservation: Option<Reservation>,
-    /// The attempt beside which nothing else may run, while it is there.
+    /// The attempt beside which nothing else may run, as long as it exists.
     exclusive_attempt: Option<AttemptId>,
-    /// Since when nothing listens at its address, as far as it wasn't heard since.
+    /// Since when calls to the target's address have been refused, with no reply since.
     pub(super) refuses_since: Option<Millis>,
-    /// What it had when it was found to have started again, and how that ends where the new
-    /// life doesn't list it.
+    /// The attempts at the last restart, with the outcome of each if the new incarnation doesn't
+    /// list it.
     pub(super) restart_outcomes: BTreeMap<AttemptId, AttemptOutcome>,
 }
 
 impl Target {
     /// Creates a target that this host doesn't hold.
     ///
-    /// `learned` is none where running times aren't learned.
+    /// `learned_speed` is `None` if running times aren't learned.
     pub(super) fn new(entry: TargetEntry, learned_speed: Option<LearnedSpeed>) -> Self {
         Self {
             capacity: Capacity::new(entry.capacity),
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Forgets what is no longer known once another host looks after it. Attempts
-    /// there are reported as lost when they are over.
+    /// Resets what is no longer known once another host holds the target or it has restarted.
+    /// Attempts are kept until their ends are known.
     pub(super) fn reset(&mut self) {
         self.reservation = None;
         self.clock = None;
@@ -100,29 +100,29 @@
         self.health.forget_silence();
     }
 
-    /// Returns whether no attempt is known there.
+    /// Returns true if no attempt is known on the target.
     pub(super) fn is_idle(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Returns whether an attempt is being stopped that may be started elsewhere once the lease
-    /// is over, whether or not the stop comes.
+    /// Returns true if an attempt is being stopped whose task may be started elsewhere once the
+    /// lease has expired, even if the stop is never confirmed.
     pub(super) fn has_unconfirmed_stop(&self) -> bool {
         self.attempts.values().any(Attempt::has_unconfirmed_stop)
     }
 
-    /// Returns whether an attempt runs that nothing else may run beside.
+    /// Returns true if an attempt runs beside which nothing else may run.
     fn is_quarantined(&self) -> bool {
         let exclusive = self.exclusive_attempt.as_ref();
         exclusive.is_some_and(|id| self.attempts.contains_key(id))
     }
 
-    /// Has nothing else run beside an attempt.
+    /// Keeps other attempts from running beside this one.
     pub(super) fn quarantine(&mut self, id: &AttemptId) {
         self.exclusive_attempt = Some(id.clone());
     }
 
-    /// Returns the free resources.
+    /// Returns the free resources; none while an attempt is quarantined.
     pub(super) fn free(&self) -> Resources {
         if self.is_quarantined() {
             return Resources::default();
@@ -133,7 +133,7 @@
         })
     }
 
-    /// Returns the free resources with their pool.
+    /// Returns the free resources with the target's pool.
     pub(super) fn free_in_pool(&self) -> FreeResources {
         FreeResources {
             pool: self.entry.pool.clone(),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns whether tasks may be started, as far as the target itself has shown.
+    /// Returns true if tasks may be started by the target's lease, clock, health and speed.
     pub(super) fn accepts_tasks(&self, now: Millis) -> bool {
         let known = self.lease.is_held() && self.clock.is_some();
         let is_very_slow = self
@@ -151,17 +151,17 @@
         known && self.health.takes_task(now, self.is_idle()) && (self.is_idle() || !is_very_slow)
     }
 
-    /// Returns whether an order fits now.
+    /// Returns true if the task fits now, by free resources, quarantine and its spread limit.
     pub(super) fn fits(&self, order: &TaskOrder) -> bool {
-        let spread = order.spread.as_ref().is_none_or(|limit| {
+        let is_within_spread = order.spread.as_ref().is_none_or(|limit| {
             let attempts = self.attempts.values();
             let same_step = attempts.filter(|attempt| attempt.counts_towards(limit));
             same_step.count() < limit.most as usize
         });
-        spread && !self.is_quarantined() && self.free().fits(&order.resources)
+        is_within_spread && !self.is_quarantined() && self.free().fits(&order.resources)
     }
 
-    /// Returns what an order costs here; see [`target_choice::cost`].
+    /// Returns the cost of running a task here; see [`target_choice::cost`].
     ///
     /// `far_slowdown` is how many times as long tasks take in racks without their data.
     pub(super) fn cost(&self, now: Millis, order: &TaskOrder, far_slowdown: f64) -> f64 {
@@ -185,7 +185,7 @@
             .slowdown(running.map(|attempt| attempt.running_time(now)))
     }
 
-    /// Returns the thousandths of a core that attempts are expected to free within a time.
+    /// Returns the thousandths of a core that attempts are expected to free within `within_ms`.
     pub(super) fn expected_to_free(&self, now: Millis, within_ms: Millis) -> u32 {
         let slowdown = self.slowdown(now);
         let attempts = self.attempts.values();
@@ -193,7 +193,7 @@
         ending.map(|attempt| attempt.resources.cpu).sum()
     }
 
-    /// Keeps the free resources for a peer until a time.
+    /// Reserves the free resources for a peer.
     pub(super) fn reserve(&mut self, peer: &Name, until: Millis) {
         self.reservation = Some(Reservation {
             peer: peer.clone(),
@@ -201,35 +201,34 @@
         });
     }
 
-    /// Ends a reservation whose time is over.
+    /// Ends the reservation if it has expired.
     pub(super) fn expire_reservation(&mut self, now: Millis) {
         self.reservation
             .take_if(|reservation| reservation.until <= now);
     }
 
-    /// Ends a reservation for a peer.
+    /// Ends the reservation if it is for this peer.
     pub(super) fn end_reservation(&mut self, peer: &Name) {
         self.reservation
             .take_if(|reservation| reservation.peer == *peer);
     }
 
-    /// Ends any reservation.
     pub(super) fn drop_reservation(&mut self) {
         self.reservation = None;
     }
 
-    /// Returns whether the free resources are reserved for anyone.
+    /// Returns true if the free resources are reserved for any host.
     pub(super) fn is_reserved(&self) -> bool {
         self.reservation.is_some()
     }
 
-    /// Returns whether the free resources are reserved for another host.
+    /// Returns true if the free resources are reserved for another host.
     pub(super) fn is_reserved_for_others(&self, now: Millis, host: &Name) -> bool {
         let reservation = self.reservation.as_ref();
         reservation.is_some_and(|reservation| reservation.peer != *host && reservation.until > now)
     }
 
-    /// Adds an attempt whose start is to be sent.
+    /// Adds an attempt whose start has yet to be sent.
     pub(super) fn add_attempt(
         &mut self,
         now: Millis,
@@ -245,11 +244,11 @@
     }
 
     /// Returns the start deadline of attempts whose starts are sent now, on the target's clock. It
-    /// is also the end of the lease; `extends` tells whether they renew that.
+    /// is also the end of the lease, which is extended if `extends` is true.
     ///
     /// # Panics
     ///
-    /// Panics if the target's clock isn't known; see [`Target::takes_task`].
+    /// Panics if the target's clock isn't known; see [`Target::accepts_tasks`].
     pub(super) fn start_deadline(&mut self, now: Millis, times: &Times, extends: bool) -> Millis {
         let until = if extends {
             self.extend_lease(now, times)
@@ -259,15 +258,15 @@
         until.expect("the clock of a target that takes tasks is known")
     }
 
-    /// Records the urgency of an attempt's queue.
+    /// Sets the urgency of an attempt's queue.
     pub(super) fn set_urgency(&mut self, id: &AttemptId, urgency: u8) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.urgency = urgency;
         }
     }
 
-    /// Returns the end of a lease that is renewed now, on the target's clock, as
-    /// early as that clock may show; none if the clock isn't known.
+    /// Extends the lease and returns its new end on the target's clock, computed from the earliest
+    /// time that the clock may show; `None` if the clock isn't known.
     pub(super) fn extend_lease(&mut self, now: Millis, times: &Times) -> Option<Millis> {
         let until = self.earliest_clock(now)? + times.target_lease;
         self.lease.extend(now + times.target_attempts_over);
@@ -275,58 +274,58 @@
         Some(until)
     }
 
-    /// Returns how long the lease lasts at least if nothing extends it, in ms of the target's
+    /// Returns the least remaining time of the lease if nothing extends it, in ms of the target's
     /// clock.
     pub(super) fn remaining_lease_ms(&self, now: Millis) -> Millis {
         let left = self.extended_until.zip(self.earliest_clock(now));
         left.map_or(0, |(until, clock)| until.saturating_sub(clock))
     }
 
-    /// Returns the least that its clock may show, if it is known.
+    /// Returns the earliest time that the target's clock may show, if the clock is known.
     fn earliest_clock(&self, now: Millis) -> Option<Millis> {
         let reading = self.clock?;
         let since = now.saturating_sub(reading.received);
         Some(reading.clock + least_on_target_clock(since))
     }
 
-    /// Returns whether it surely is the life that was heard last: since then no call went
-    /// without reply, and its lease didn't expire.
+    /// Returns true if the target can't have restarted unnoticed: since its last reply no call went
+    /// without reply and its lease didn't expire.
     pub(super) fn is_incarnation_certain(&self) -> bool {
         self.clock.is_some() && !self.health.has_missed()
     }
 
-    /// Records that it may have started again since it was heard: nothing is started there
-    /// until it is heard again. Guards against a host that stood still and takes the next life
-    /// for the one that it knew.
+    /// Records that the target may have restarted since its last reply. Nothing is started there
+    /// until it replies again. Guards against a host that was suspended and takes a new incarnation
+    /// for the known one.
     pub(super) fn mark_incarnation_unconfirmed(&mut self) {
         self.clock = None;
     }
 
-    /// Returns whether it was heard at a time or later.
+    /// Returns true if the target replied at `time` or later.
     pub(super) fn has_replied_since(&self, time: Millis) -> bool {
         self.clock.is_some_and(|reading| reading.received >= time)
     }
 
-    /// Returns whether starts wait for it to be heard.
+    /// Returns true if starts wait for a reply of the target.
     pub(super) fn has_unsent_starts(&self) -> bool {
         self.attempts
             .values()
             .any(|attempt| attempt.unsent_specification.is_some())
     }
 
-    /// Returns the attempts whose starts wait for it to be heard.
+    /// Returns the attempts whose starts wait for a reply of the target.
     pub(super) fn unsent_attempts(&self) -> Vec<AttemptId> {
         let attempts = self.attempts.iter();
         let unsent = attempts.filter(|(_, attempt)| attempt.unsent_specification.is_some());
         unsent.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns its clock as last heard.
+    /// Returns the clock in the target's last reply.
     pub(super) fn last_clock(&self) -> Option<Millis> {
         self.clock.map(|reading| reading.clock)
     }
 
-    /// Records a reply's clock.
+    /// Records the clock in a reply; the target counts as answering.
     pub(super) fn record_clock(&mut self, now: Millis, clock: Millis) {
         self.clock = Some(ClockReading {
             received: now,
@@ -336,7 +335,7 @@
         self.refuses_since = None;
     }
 
-    /// Records a call without reply; returns whether the target is silent.
+    /// Records a call without reply; returns true if the target is silent.
     pub(super) fn record_missed_reply(&mut self, now: Millis) -> bool {
         self.health.missed(now, self.lease.is_held())
     }
@@ -348,14 +347,14 @@
         }
     }
 
-    /// Records that the target began an attempt, at a time of its clock.
+    /// Records that the target started an attempt, at a time of its clock.
     pub(super) fn record_start(&mut self, id: &AttemptId, clock: Millis) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.progress.get_or_insert(Progress::begun(clock));
         }
     }
 
-    /// Records how far a listing says that an attempt has got.
+    /// Records the progress of an attempt in a listing.
     pub(super) fn observe_progress(&mut self, now: Millis, listed: &ListedAttempt, clock: Millis) {
         let attempt = self.attempts.get_mut(&listed.id);
         if let (Some(attempt), Some(percent)) = (attempt, listed.percent) {
@@ -363,7 +362,7 @@
         }
     }
 
-    /// Has an attempt stopped whose start had no reply: it may run.
+    /// Requests a stop of an attempt whose start had no reply: it may run.
     pub(super) fn request_stop_if_unconfirmed(&mut self, id: &AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             if attempt.confirmed.is_none() && attempt.stop == StopStage::NotRequested {
@@ -372,8 +371,8 @@
         }
     }
 
-    /// Has an attempt stopped; returns false if it is being stopped already, or
-    /// isn't there.
+    /// Requests a stop of an attempt; returns false if it is unknown or a stop was already
+    /// requested.
     pub(super) fn request_stop(&mut self, id: &AttemptId, report: bool) -> bool {
         let attempt = self.attempts.get_mut(id);
         attempt.is_some_and(|attempt| attempt.request_stop(report))
@@ -393,8 +392,8 @@
         }
     }
 
-    /// Has a stop sent again that can't have come: a listing that was asked for long after it,
-    /// at `asked`, shows the attempt as running.
+    /// Repeats a stop that was lost: a listing requested long after it, at `requested`, shows the
+    /// attempt as running.
     pub(super) fn repeat_lost_stop(&mut self, id: &AttemptId, requested: Millis) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             let lost = matches!(
@@ -407,7 +406,7 @@
         }
     }
 
-    /// Records whether a stop was carried out; one that wasn't is sent again.
+    /// Records the reply to a stop. A stop that wasn't carried out is sent again.
     pub(super) fn record_stop_reply(
         &mut self,
         now: Millis,
@@ -427,15 +426,15 @@
         }
     }
 
-    /// Returns whether an end is awaited that a listing shows sooner than the target
-    /// would by itself.
+    /// Returns true if an end is awaited that a new listing may show before the target reports it
+    /// by itself.
     pub(super) fn awaits_end(&self) -> bool {
         let mut attempts = self.attempts.values();
         self.lease.stage == LeaseStage::Settling
             || attempts.any(|attempt| attempt.stop != StopStage::NotRequested)
     }
 
-    /// Returns the attempts that are to be tried elsewhere, and why.
+    /// Returns the attempts that are stalled or overrunning and not being stopped, with the reason.
     pub(super) fn stalled_or_overrunning(&self, now: Millis) -> Vec<(AttemptId, StopReason)> {
         let not_stopping = self.attempts.iter();
         let not_stopping =
--- a/crates/dispatcher-core/src/targets/unsent_starts.rs
+++ b/crates/dispatcher-core/src/targets/unsent_starts.rs
@@ -1,10 +1,11 @@
-//! Starts that wait until their target is heard.
+//! Starts that wait for a reply of their target.
 //!
-//! An idle target is asked rarely, and may have started again since it was heard. Its new life
-//! has seen no fencing token, so that it would take the starts of every host that believes to
-//! hold it, and a time of the old clock for the longest lease. So one that wasn't heard of lately
-//! is asked first: a new life then knows the token before any start comes, and this host the new
-//! life. A busy target needs no question: it is heard all the time.
+//! An idle target is renewed rarely and may have restarted since its last reply. Its new
+//! incarnation has seen no fencing token, so that it would accept the starts of every host that
+//! assumes to hold it, and would take a time on the previous clock for the longest lease. A start
+//! on a target without a recent reply therefore waits for a renewal: a new incarnation then knows
+//! the token before any start arrives, and this host knows the new incarnation. A busy target
+//! replies all the time, so that its starts don't wait.
 
 use gannetridge_wire::Name;
 
@@ -17,15 +18,16 @@
 use super::TargetLeases;
 
 impl TargetLeases {
-    /// Returns whether a target is to be heard before a start is sent to it. An idle one isn't
-    /// believed for longer than a busy one, which answers each renewal within a long poll.
+    /// Returns true if a target must reply before a start is sent to it. An idle target needs a
+    /// reply as recent as those of a busy one, which answers each renewal within a long poll.
     pub(super) fn must_reply_first(&self, now: Millis, target: &Target) -> bool {
         let recent = now.saturating_sub(self.times.long_poll);
         let is_stale = target.is_idle() && !target.has_replied_since(recent);
         self.safeguards.idle_targets_are_asked && (is_stale || target.has_unsent_starts())
     }
 
-    /// Sends the starts that waited for a target that is heard now, if they may extend its lease.
+    /// Sends the starts that waited for the target's reply, or ends them if the lease isn't held or
+    /// must not be extended.
     pub(super) fn resolve_unsent_starts(&mut self, now: Millis, id: &Name) {
         let target = &self.targets[id];
         if !target.lease.is_held() || self.lets_lease_expire(target) {
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Ends an attempt whose start wasn't sent; returns false if it was.
+    /// Ends an attempt whose start wasn't sent; returns false if it was sent.
     pub(super) fn end_if_unsent(&mut self, now: Millis, target: &Name, id: &AttemptId) -> bool {
         let target = self.targets.get_mut(target);
         let report = target.and_then(|target| target.end_if_unsent(now, id));
@@ -45,7 +47,7 @@
         ended
     }
 
-    /// Gives back the attempts that waited for a target, so that they are tried elsewhere.
+    /// Ends the attempts whose starts wait for a target, so that their tasks are started elsewhere.
     pub(super) fn end_unsent(&mut self, now: Millis, id: &Name) {
         if let Some(target) = self.targets.get_mut(id) {
             self.reports.extend(target.end_unsent(now));
--- a/crates/dispatcher-core/src/targets/usable.rs
+++ b/crates/dispatcher-core/src/targets/usable.rs
@@ -1,8 +1,8 @@
-//! Which targets may run tasks now, and what of them is free.
+//! Selects the targets that may run tasks now, and reports their free resources.
 //!
-//! A target is usable where everything that is known of it allows a start: its place in the list,
-//! its hall, its lease, its health and the assignment. All starts, reservations and what peers are
-//! told of free resources go through here.
+//! A target is usable if everything known of it allows a start: its entry, its hall, its lease, its
+//! health and the assignment. All starts, reservations and reports of free resources to peers go
+//! through this check.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -19,31 +19,30 @@
 use super::target::Target;
 use super::TargetLeases;
 
-/// How long a host that should leave a target to another waits for it to be empty before it starts
-/// nothing more there, in ms.
+/// How long a host waits, in ms, for a target assigned to another host to become empty before it
+/// starts nothing more there.
 const RELEASE_DELAY_MS: Millis = 1_000;
-/// How long the lease of a target has to last where it isn't extended before a stop is confirmed,
-/// in ms: the confirmation and a renewal have to come within it.
+/// The least remaining lease, in ms, for starts on a target whose lease isn't extended until a stop
+/// is confirmed: the confirmation and a renewal have to arrive within it.
 const MIN_REMAINING_LEASE_MS: Millis = 200;
-/// The most targets with free resources that a reply tells of: a peer hands over what finds
-/// no target in its own hall, and hears again with its next request. Each takes some 20 bytes
-/// of every reply.
+/// The most targets with free resources in a reply. A peer hands over what finds no target in its
+/// own hall, and its next request brings an update. Each entry takes about 20 bytes of every reply.
 const MAX_FREE_ENTRIES: usize = 4;
 
-/// Where a task could be run, once there are the resources.
+/// Where a task could run once its resources are free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Runnable {
-    /// On a known target whose hall isn't draining; or no target is known yet.
+    /// On a known target whose hall isn't draining, or no target is known yet.
     Yes,
-    /// On targets of draining halls only.
+    /// Only on targets of draining halls.
     InDrainingHalls,
     /// On no known target.
     Nowhere,
 }
 
 impl TargetLeases {
-    /// Returns the free resources, an entry for each usable target with some, the freest
-    /// [`FREE_TOLD`].
+    /// Returns the free resources of the usable targets without a reservation, those with the most
+    /// first, at most [`MAX_FREE_ENTRIES`].
     #[must_use]
     pub fn free_resources(&self, now: Millis) -> Vec<FreeResources> {
         let usable = self.usable_targets(now);
@@ -55,14 +54,14 @@
         free
     }
 
-    /// Returns whether any target of this host has such resources free.
+    /// Returns true if a usable target has these resources free.
     #[must_use]
     pub fn may_fit(&self, now: Millis, resources: &Resources) -> bool {
         let mut leased = self.leased_targets();
         leased.any(|target| target.free().fits(resources) && self.is_usable(now, target))
     }
 
-    /// Returns whether a target of this host has the resources for an order free.
+    /// Returns true if a usable target suits the task and has its resources free.
     #[must_use]
     pub fn has_free_resources(&self, now: Millis, order: &TaskOrder) -> bool {
         let mut leased = self.leased_targets();
@@ -73,7 +72,8 @@
         })
     }
 
-    /// Returns the thousandths of a core that a pool's targets have, all hosts' together.
+    /// Returns the thousandths of a core of all listed targets of a pool, whichever host holds
+    /// them, except in draining halls.
     #[must_use]
     pub fn listed_cpu(&self, pool: &Name) -> u64 {
         let targets = self.targets.values().map(|target| &target.entry);
@@ -81,7 +81,7 @@
         listed.map(|entry| u64::from(entry.capacity.cpu)).sum()
     }
 
-    /// Returns where an order could be run, once there are the resources.
+    /// Returns where a task could run once its resources are free.
     #[must_use]
     pub fn runnable(&self, order: &TaskOrder) -> Runnable {
         if self.targets.is_empty() {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes note of the halls that get no new tasks from now on.
+    /// Sets the halls that get no new tasks from now on.
     pub fn set_draining(&mut self, halls: &Halls) {
         let before = std::mem::replace(&mut self.draining, Arc::clone(halls));
         for id in self.leased.clone() {
@@ -124,26 +124,27 @@
         self.safeguards.draining_is_heeded && self.draining.contains(hall)
     }
 
-    /// Returns the targets of this host on which tasks may be started.
+    /// Returns this host's targets on which tasks may be started.
     pub(super) fn usable_targets(&self, now: Millis) -> impl Iterator<Item = &Target> {
         let leased = self.leased_targets();
         leased.filter(move |target| self.is_usable(now, target))
     }
 
-    /// Returns whether tasks may be started on a target: it is listed, its entry can be used, it
-    /// stays, as does its hall, it answers and is well, its lease lasts, and it isn't to be left to
-    /// another host.
+    /// Returns true if tasks may be started on a target: it wasn't removed from the list, its entry
+    /// is usable, neither it nor its hall is being drained, it answers and is healthy, its lease
+    /// lasts long enough, and it isn't to be released to another host.
     fn is_usable(&self, now: Millis, target: &Target) -> bool {
-        let listed = target.unlisted_since.is_none() || !self.store.list_is_settled(now);
-        let leaving = target.entry.leaving && self.safeguards.leaving_is_heeded;
-        let stays = !leaving && !target.entry_unusable && !self.is_draining(&target.entry.hall);
-        let lasts = !self.lets_lease_expire(target)
+        let is_listed = target.unlisted_since.is_none() || !self.store.list_is_settled(now);
+        let is_leaving = target.entry.leaving && self.safeguards.leaving_is_heeded;
+        let is_staying =
+            !is_leaving && !target.entry_unusable && !self.is_draining(&target.entry.hall);
+        let lease_lasts = !self.lets_lease_expire(target)
             || target.remaining_lease_ms(now) >= MIN_REMAINING_LEASE_MS;
-        let open = lasts && !self.is_release_due(now, target);
-        listed && stays && open && target.accepts_tasks(now)
+        let may_start = lease_lasts && !self.is_release_due(now, target);
+        is_listed && is_staying && may_start && target.accepts_tasks(now)
     }
 
-    /// Returns whether a target's lease is to run out unless stops are confirmed before.
+    /// Returns true if the target's lease must expire unless its pending stops are confirmed first.
     pub(super) fn lets_lease_expire(&self, target: &Target) -> bool {
         self.safeguards.unconfirmed_stops_end_leases && target.has_unconfirmed_stop()
     }
--- a/crates/dispatcher-core/tests/crashing_tasks.rs
+++ b/crates/dispatcher-core/tests/crashing_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the targets that start them, and the tasks that run beside them.
+//! Tasks that crash their targets, and the tasks that run beside them.
 
 mod support;
 
@@ -14,13 +14,13 @@
 };
 use support::{case, peer_info, settings, step, target, Called, Rig};
 
-/// How long tasks run, how long one that crashes its target does before, and for how long that
-/// is down, in ms.
+/// The running time of tasks, the running time of a task that crashes its target, and the downtime
+/// of a crashed target, in ms.
 const WORK_MS: Millis = 400;
 const CRASHES_AFTER_MS: Millis = 30;
 const DOWN_MS: Millis = 3_000;
 
-/// One target: what runs there, with when it ends.
+/// A simulated target: its running attempts with their end times.
 #[derive(Default)]
 struct FakeTarget {
     running: BTreeMap<AttemptId, Millis>,
@@ -57,10 +57,10 @@
     }
 }
 
-/// A crash: the task, and how many others ran there.
+/// The task that crashed its target, and the number of other attempts there.
 type Crash = (String, usize);
 
-/// A host, its targets, and the tasks that crash them.
+/// A host with simulated targets, and the tasks that crash them.
 struct TestCluster {
     rig: Rig,
     targets: BTreeMap<String, FakeTarget>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Lets the targets work and answer for so long.
+    /// Lets the targets work and answer for this long.
     fn pass(&mut self, ms: Millis) {
         for _ in 0..ms / 10 {
             self.work();
@@ -216,7 +216,7 @@
             );
         }
     }
-    // Neighbours are lost at the first crash under each bad task alone.
+    // Other tasks lose an attempt only at the first crash under each crashing task.
     let shared = cluster.crashes.iter().filter(|crash| crash.1 > 0).count();
     assert!(shared <= 5, "{:?}", cluster.crashes);
 });
@@ -226,14 +226,14 @@
     cluster.submit(1);
     cluster.pass(100);
     assert_eq!(cluster.crashes.len(), 1);
-    // Its caller leaves before the crash is known.
+    // The caller disconnects before the crash is known.
     let request_id = RequestId(1);
     cluster.rig.event(Event::CallerGone { request_id });
     cluster.pass(1_300);
     let steps = vec![step(1, 2_000, WORK_MS)];
     cluster.rig.submit(2, &id(1), steps.clone(), 8_000);
     cluster.pass(3_000);
-    // It was being stopped at the first crash, so that two more make it sure.
+    // The attempt was being stopped at the first crash, so it takes two more to be certain.
     assert_eq!(cluster.rig.answer_to(2), Some(&Answer::Failed));
     assert_eq!(cluster.crashes.len(), 3);
     cluster.rig.submit(3, &id(1), steps, 8_000);
@@ -286,8 +286,8 @@
     );
 });
 
-/// Declares tests, each the hall of a peer, why calls to a lost target fail, and how often the
-/// peer is told of a crash.
+/// Declares tests, each with a peer's hall, the reason why calls to a lost target fail, and how
+/// many crash reports the peer gets.
 macro_rules! crash_reports {
     ($($name:ident: $hall:literal, $failure:ident => $times:literal;)+) => {
         $(case!($name, { assert_eq!(crash_reports_sent($hall, SendFailure::$failure), $times); });)+
@@ -332,7 +332,7 @@
     rig.target_reply(starts[0].0, TargetReply::Accepted { clock });
 }
 
-/// Has all calls to targets fail for longer than their leases last.
+/// Fails all calls to targets for longer than their leases last.
 fn fail_all_calls(rig: &mut Rig, failure: SendFailure) {
     for _ in 0..80 {
         for called in std::mem::take(&mut rig.calls) {
@@ -345,8 +345,8 @@
     }
 }
 
-/// Declares tests, each how a target was lost, whether an attempt ran there and how many others
-/// did, and how that attempt ended by it.
+/// Declares tests, each with how a target was lost, how certain it is that an attempt ran there,
+/// the number of other attempts, and the attempt's outcome.
 macro_rules! losses {
     ($($name:ident: $loss:ident, leaving $leaving:literal, ran $ran:ident, others $others:literal
         => $outcome:ident;)+) => {
@@ -368,8 +368,8 @@
     a_crash_after_a_stop: Restarted, leaving false, ran No, others 1 => Lost;
 }
 
-/// Declares tests, each how often targets crashed under a task alone, beside others and perhaps,
-/// how many ms ago, and what becomes of it.
+/// Declares tests, each with the numbers of targets that crashed under a task alone, beside others
+/// and perhaps, the time since the last crash in ms, and the verdict.
 macro_rules! verdicts {
     ($($name:ident: $alone:literal, $beside_others:literal, $perhaps:literal, $since_ms:literal
         => $verdict:ident;)+) => {
@@ -401,7 +401,7 @@
     perhaps_three_times: 0, 0, 3, 0 => GivenUpInDoubt;
 }
 
-/// Answers the renewals of one target with a listing of one of its lives.
+/// Answers the renewals of one target with a listing of one of its incarnations.
 fn answer_renewals(rig: &mut Rig, on: &str, incarnation: u64, running: &[(AttemptId, u8)]) {
     let calls = std::mem::take(&mut rig.calls);
     let (here, others): (Vec<_>, Vec<_>) = calls.into_iter().partition(|called| {
@@ -424,8 +424,8 @@
     }
 }
 
-/// A task's target crashes just after the task was done there, so that its end is never heard, and
-/// the same happens to its next attempt. Returns what its caller is told by then.
+/// Crashes a task's target just after the task was done there, so that its end is never received,
+/// and does the same to the next attempt. Returns the answer to the caller by then, if any.
 fn done_just_before_each_crash(safeguards: Safeguards) -> Option<Answer> {
     let settings = Settings {
         safeguards,
@@ -443,7 +443,8 @@
         rig.target_reply(call, TargetReply::Accepted { clock });
         rig.pass(90);
         answer_renewals(&mut rig, &on, incarnation, &[(attempt, 64)]);
-        // It is done some 50 ms later. The target crashes before it tells, and is back at once.
+        // The attempt is done some 50 ms later. The target crashes before it lists the end, and
+        // restarts at once.
         rig.pass(300);
         answer_renewals(&mut rig, &on, incarnation + 10, &[]);
         rig.pass(60);
@@ -451,7 +452,8 @@
     rig.answer_to(1).cloned()
 }
 
-// Guards against an untrue failure: the ends of two attempts were lost with their targets.
+// Guards against failing a job although its task was done: the ends of two attempts were lost with
+// their targets.
 case!(
     a_task_that_may_have_been_done_before_each_crash_is_not_failed,
     {
@@ -468,8 +470,8 @@
     assert_eq!(answer, Some(Answer::Failed));
 });
 
-/// Declares tests, each how much of an attempt's work was done when it was last heard of, the time
-/// expected of all of it, and how much later it may be done at the earliest, in ms.
+/// Declares tests, each with the progress of an attempt in percent, its expected total running
+/// time, and the least remaining time, in ms.
 macro_rules! earliest_ends {
     ($($name:ident: $percent:literal, $total_ms:literal => $least_ms:literal;)+) => {
         $(case!($name, { assert_eq!(least_remaining_ms($total_ms, $percent), $least_ms); });)+
--- a/crates/dispatcher-core/tests/shrinking_capacity.rs
+++ b/crates/dispatcher-core/tests/shrinking_capacity.rs
@@ -1,5 +1,5 @@
-//! Targets whose capacity shrinks and grows while they run, as their entries and their
-//! listings tell: nothing is started over it, and what runs goes on.
+//! Targets whose capacity changes while they run, by their entries and listings: nothing is started
+//! beyond the capacity, and running attempts continue.
 
 mod support;
 
@@ -18,13 +18,13 @@
     Some(Ok(target("near", cores).capacity))
 }
 
-/// The entry tells another capacity.
+/// Changes the capacity in the target's entry.
 fn change_entry(rig: &mut Rig, cores: u32) {
     let entry = target("near", cores);
     rig.event(Event::TargetsChanged(vec![TargetChange::There(entry)]));
 }
 
-/// Answers the renewals that were sent; returns how many.
+/// Answers the renewals that were sent; returns their number.
 fn answer_renewals(
     rig: &mut Rig,
     capacity: &ListedCapacity,
@@ -49,7 +49,7 @@
     renewals.len()
 }
 
-/// Lets the target list what it has.
+/// Lets the target list its capacity and its running attempts.
 fn list_capacity(rig: &mut Rig, capacity: &ListedCapacity, running: &[AttemptId]) {
     rig.pass(10);
     assert!(
@@ -58,7 +58,7 @@
     );
 }
 
-/// A host that holds a target of 16 cores on which so many tasks of 4 cores run.
+/// Returns a host that holds a target of 16 cores, with this many running tasks of 4 cores.
 fn holder_with_tasks(tasks: u32) -> (Rig, Vec<AttemptId>) {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let ids = submit(&mut rig, 1, tasks);
@@ -66,7 +66,7 @@
     (rig, ids)
 }
 
-/// Submits a job of tasks of 4 cores; returns those that start at once, and are accepted.
+/// Submits a job of tasks of 4 cores; accepts and returns the attempts that start at once.
 fn submit(rig: &mut Rig, request_id: u64, tasks: u32) -> Vec<AttemptId> {
     let id = format!("{request_id:016x}");
     rig.submit(request_id, &id, vec![step(tasks, 4_000, 400)], 1_500);
@@ -105,11 +105,11 @@
 
 case!(an_entry_from_before_the_listing_allows_no_start, {
     let (mut rig, ids) = holder_with_tasks(1);
-    // The target said 12 and then 4; its entry of 12 comes late.
+    // The target reported 12 and then 4 cores; its entry with 12 arrives late.
     list_capacity(&mut rig, &cores(4), &ids);
     change_entry(&mut rig, 12);
     assert_eq!(submit(&mut rig, 2, 1), []);
-    // A listing that was asked for before the entry came tells nothing newer.
+    // A listing requested before the entry arrived is not newer than it.
     answer_renewals(&mut rig, &cores(4), &ids, &[]);
     assert_eq!(accept_starts(&mut rig), []);
     list_capacity(&mut rig, &cores(4), &ids);
@@ -125,7 +125,7 @@
     change_entry(&mut rig, 8);
     assert_eq!(submit(&mut rig, 2, 2).len(), 1);
     assert_eq!(answer_renewals(&mut rig, &cores(8), &[], &[]), 1);
-    // That one was asked for as the entry came, and may have been made before.
+    // That listing was requested in the same millisecond and may be older than the entry.
     list_capacity(&mut rig, &cores(8), &[]);
     assert_eq!(accept_starts(&mut rig).len(), 1);
 });
--- a/crates/dispatcher-core/tests/suspended.rs
+++ b/crates/dispatcher-core/tests/suspended.rs
@@ -1,5 +1,5 @@
-//! A host that stood still for seconds: what it held is lost before anything else is looked
-//! at, also where the first event after it is one that was queued before.
+//! Suspended hosts: a host that was suspended for seconds drops its expired leases before it
+//! handles any event, including one that was queued before.
 
 mod support;
 
@@ -19,12 +19,12 @@
 const GAP_MS: Millis = 3_000;
 /// A little longer than half of an owner lease.
 const SHORT_GAP_MS: Millis = 300;
-/// How long a start is waited for at least; see `rules/congestion.rs`.
+/// The shortest timeout of a start; see `rules/congestion.rs`.
 const MIN_START_WAIT_MS: Millis = 40;
-/// By how much targets' clocks are ahead of the test's.
+/// The difference between targets' clocks and the test's.
 const CLOCK_OFFSET_MS: Millis = 500_000;
 
-/// A host whose clock is the one that processes have, on a system that a test suspends.
+/// A host on the clock that processes use, on a system that a test suspends.
 struct SuspendedHost {
     rig: Rig,
     clock: Clock,
@@ -33,8 +33,7 @@
 }
 
 impl SuspendedHost {
-    /// Runs a host on a clock that is made of the system's time since boot and its steady
-    /// clock.
+    /// Creates a host on a clock that reads the system's time since boot and its steady clock.
     fn new(clock: impl Fn(Arc<AtomicU64>, Arc<AtomicU64>) -> Clock) -> Self {
         let rig = Rig::holding_targets(&[target("near", 16)]);
         let [since_boot, steady] = [(); 2].map(|()| Arc::new(AtomicU64::new(rig.now)));
@@ -46,8 +45,8 @@
         }
     }
 
-    /// A peer's task is started; its next one waits while the host is suspended. Returns how
-    /// many tasks run or may run after that.
+    /// Starts a peer's task and suspends the host while the peer's next request is queued. Returns
+    /// the number of attempts that run or may run after that.
     fn attempts_after_suspension(mut self) -> usize {
         let began = self.rig.now;
         let first = order("00000000000000aa.0.0.0", 900);
@@ -68,21 +67,21 @@
     move || Duration::from_millis(clock.load(Ordering::Relaxed))
 }
 
-/// A peer's request that proves that the peer heard this host at a time.
-fn queued_place(heard: Millis) -> Envelope {
+/// A peer's request that proves that the peer received this host's clock at a time.
+fn queued_place(received: Millis) -> Envelope {
     Envelope {
         from: peer_info(),
         session: 1,
         echoed_clock: Some(EchoedClock {
             incarnation: 5,
-            clock: heard,
+            clock: received,
         }),
         clock: 0,
         request: Request::Place(vec![order("00000000000000bb.0.0.0", 900)]),
     }
 }
 
-/// A host that knows a peer with free resources, and no target of its own.
+/// Returns a host that knows a peer with free resources and holds no target itself.
 fn host_with_peer() -> Rig {
     let mut rig = Rig::new();
     rig.event(Event::HostsRead(vec![peer_info()]));
@@ -111,7 +110,7 @@
         let clock = rig.now + CLOCK_OFFSET_MS;
         rig.renewals();
         rig.now += GAP_MS;
-        // The reply came before the host stood still.
+        // The reply arrived before the suspension.
         rig.target_reply(call, TargetReply::Accepted { clock });
         assert_eq!(
             rig.host.counts(rig.now).attempts,
@@ -206,7 +205,7 @@
         let mut rig = host_with_peer();
         rig.submit(1, "0000000000000001", vec![step(1, 7_000, 900)], 20_000);
         let (call, _) = rig.requests(is_place).remove(0);
-        // It has not started the task, so that this may be tried elsewhere.
+        // The peer hasn't started the task, so it may be started elsewhere.
         let reply = rig.reply(ReplyBody::Placed(Vec::new()), 16_000);
         rig.now += GAP_MS;
         let reply = Ok(reply);
@@ -240,7 +239,7 @@
     a_reply_from_before_the_suspension_does_not_count_as_a_reply_time,
     {
         let mut rig = Rig::holding_targets(&[target("near", 16)]);
-        // Quick replies: starts are waited for as briefly as they ever are.
+        // Quick replies reduce the timeout of starts to its minimum.
         for number in 0..200 {
             let id = format!("{number:016x}");
             rig.submit(number, &id, vec![step(1, 1_000, 20)], 20_000);
@@ -255,7 +254,7 @@
         rig.submit(900, "0000000000000900", vec![step(1, 1_000, 300)], 20_000);
         let started = rig.starts().remove(0);
         let clock = rig.now + CLOCK_OFFSET_MS;
-        // Short enough for its lease.
+        // Too short for the target's lease to expire.
         rig.now += SHORT_GAP_MS;
         rig.target_reply(started.0, TargetReply::Accepted { clock });
         for (call, _) in rig.renewals() {
--- a/crates/dispatcher-core/tests/target_leases.rs
+++ b/crates/dispatcher-core/tests/target_leases.rs
@@ -1,4 +1,4 @@
-//! Targets that a host looks after.
+//! Leases of targets: acquiring, holding, renewing and losing them.
 
 mod support;
 
@@ -40,7 +40,7 @@
 case!(a_listing_requested_before_a_start_does_not_end_it, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let id = submit_and_accept(&mut rig, ID);
-    // Asked for in the same millisecond in which the start was taken.
+    // Requested in the same millisecond in which the start was accepted.
     let (call, _) = rig.renewals().remove(0);
     rig.now += 1;
     rig.listing(call, &[], &[]);
@@ -67,7 +67,7 @@
         rig.target_reply(start, TargetReply::StaleToken { clock });
         let (reacquisition, until) = rig.renewals().remove(0);
         assert_eq!(until, None, "another host may have started attempts there");
-        // A listing from before the other host took it tells nothing.
+        // A listing from before the other host took the target shows nothing.
         rig.listing(old, std::slice::from_ref(&id), &[]);
         let other = gannetridge_dispatcher_core::message::AttemptId {
             task: "00000000000000aa.0.0.0".into(),
@@ -125,17 +125,17 @@
 case!(a_target_that_fails_all_tasks_gets_no_more, {
     let mut rig = Rig::holding_targets(&[target("one", 24), target("two", 16)]);
     // Two failures in a row on one target, of different jobs.
-    let mut bad = String::new();
+    let mut failing = String::new();
     for (number, id) in ["00000000000000a1", "00000000000000a2"].iter().enumerate() {
         rig.submit(number as u64, id, vec![step(1, 4_000, 300)], 3_000);
         let (call, on, id) = rig.starts().remove(0);
-        bad = on;
+        failing = on;
         let clock = rig.now + 500_000;
         rig.target_reply(call, TargetReply::Accepted { clock });
         rig.now += 10;
-        let targets: Vec<_> = rig.calls.drain(..).collect();
-        for called in targets {
-            let ends = if called.target == bad {
+        let calls: Vec<_> = rig.calls.drain(..).collect();
+        for called in calls {
+            let ends = if called.target == failing {
                 vec![ended(number as u64 + 1, &id, ListedOutcome::Failed)]
             } else {
                 Vec::new()
@@ -150,8 +150,8 @@
     rig.submit(9, ID, vec![step(1, 4_000, 300)], 3_000);
     let starts = rig.starts();
     assert!(
-        starts.iter().all(|(_, on, _)| *on != bad),
-        "{bad} {starts:?}"
+        starts.iter().all(|(_, on, _)| *on != failing),
+        "{failing} {starts:?}"
     );
     assert_eq!(starts.len(), 1);
 });
@@ -212,7 +212,7 @@
     let mut restarted = None;
     while restarted.is_none() && rig.now < silent_since + 3_000 {
         rig.pass(50);
-        // Twice: a start waits for the idle target to be heard.
+        // Twice: a start waits for a reply of the idle target.
         for _ in 0..2 {
             for called in std::mem::take(&mut rig.calls) {
                 match called.order {
@@ -227,7 +227,7 @@
         }
     }
     assert_eq!(restarted.as_deref(), Some("two"));
-    // Before renewals of silent targets stopped extending the lease: not within 3,000 ms.
+    // Renewals of a silent target must not extend its lease.
     let waited = rig.now - silent_since;
     assert_eq!(
         waited, 650,
@@ -235,7 +235,7 @@
     );
 });
 
-/// Submits a job of one short task; returns how many starts it led to.
+/// Submits a job of one short task; returns the number of starts.
 fn count_starts(rig: &mut Rig, number: u64) -> usize {
     rig.submit(
         number,
@@ -249,7 +249,7 @@
 
 case!(an_unlisted_target_gets_no_tasks, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    // It serves on, and answers, though its entry went without a word.
+    // The target keeps answering although its entry was removed.
     rig.event(Event::TargetsChanged(vec![TargetChange::Gone(
         "near".into(),
     )]));
@@ -311,7 +311,8 @@
     rig.pass(10);
 }
 
-/// A host with two targets, a task that runs on one of them, and the clock of its start.
+/// Returns a host with two targets, an attempt that runs on one of them, and the target's clock at
+/// the start.
 fn running_task(estimate_ms: Millis) -> (Rig, AttemptId, Millis) {
     let mut rig = Rig::holding_targets(&[target("one", 16), target("two", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, estimate_ms)], 3_000);
@@ -323,7 +324,6 @@
 }
 
 case!(a_stalled_attempt_is_stopped, {
-    // Before, it was given up after 950 ms: four times its estimate and 150 ms.
     let (mut rig, id, clock) = running_task(200);
     report_progress(&mut rig, &id, 0, clock + 90);
     assert!(rig.stops().is_empty(), "it may just have started");
@@ -342,7 +342,7 @@
 case!(a_late_listing_does_not_show_a_stall, {
     let (mut rig, id, clock) = running_task(200);
     report_progress(&mut rig, &id, 10, clock + 20);
-    // What was listed 30 ms later is on its way for long.
+    // A listing made 30 ms later arrives late.
     rig.pass(300);
     report_progress(&mut rig, &id, 10, clock + 50);
     assert!(rig.stops().is_empty());
@@ -358,7 +358,7 @@
     assert!(rig.stops().is_empty());
 });
 
-/// Starts an attempt for the peer; returns it.
+/// Starts an attempt on behalf of the peer; returns it.
 fn start_for_peer(rig: &mut Rig, task: &str) -> AttemptId {
     rig.peer_asks(90, Request::Place(vec![order(task, 900)]));
     let (call, _, id) = rig.starts().remove(0);
@@ -367,8 +367,8 @@
     id
 }
 
-/// Lets time pass in which the target answers its renewals; returns the latest time, on the
-/// host's clock, until which any call extended the target's lease.
+/// Lets time pass while the target answers its renewals; returns the latest time, on the host's
+/// clock, to which any call extended the target's lease.
 fn renewed_until(rig: &mut Rig, ms: Millis, running: &[AttemptId]) -> Option<Millis> {
     let mut latest = None;
     let end = rig.now + ms;
@@ -382,9 +382,9 @@
     latest
 }
 
-/// An owner falls silent whose attempt runs beside one of the holder, and the stops of it are
-/// lost. Returns the holder, how long the target's lease was extended, and the time from which the
-/// owner starts the task elsewhere.
+/// Simulates an owner that falls silent while its attempt runs beside one of the holder, and lost
+/// stops of the owner's attempt. Returns the holder, the time until which the attempt may run, and
+/// the time from which the owner starts the task elsewhere.
 fn owner_silent_and_stops_lost(safeguards: Safeguards) -> (Rig, Millis, Millis) {
     let settings = Settings {
         safeguards,
@@ -394,17 +394,21 @@
     rig.event(Event::HostsRead(vec![peer_info()]));
     let own = submit_and_accept(&mut rig, ID);
     let theirs = start_for_peer(&mut rig, "00000000000000aa.0.0.0");
-    let over = rig.now + BOUNDS.times().unwrap().lost_attempts_over;
+    let restarted_from = rig.now + BOUNDS.times().unwrap().lost_attempts_over;
     let extended = renewed_until(&mut rig, 1_000, &[own, theirs]);
-    let ends = extended.expect("a renewal before the owner fell silent") + BOUNDS.stop_grace_ms;
-    (rig, ends, over)
+    let runs_until =
+        extended.expect("a renewal before the owner fell silent") + BOUNDS.stop_grace_ms;
+    (rig, runs_until, restarted_from)
 }
 
-// Guards against a second run of a task whose owner fell silent: the attempts beside it went on
-// extending the lease under which it ran, while its stop was lost.
+// Guards against a second concurrent attempt of a task: renewals for other attempts extended the
+// lease of an attempt whose owner was silent and whose stop was lost.
 case!(no_lease_is_extended_past_an_unconfirmed_stop, {
-    let (mut rig, ends, over) = owner_silent_and_stops_lost(Safeguards::default());
-    assert!(ends <= over, "it runs until {ends}, and again from {over}");
+    let (mut rig, runs_until, restarted_from) = owner_silent_and_stops_lost(Safeguards::default());
+    assert!(
+        runs_until <= restarted_from,
+        "it runs until {runs_until}, and again from {restarted_from}"
+    );
     assert!(rig.stops().len() > 1, "the stop is repeated");
     rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 300)], 3_000);
     assert!(rig.starts().is_empty(), "the lease is about to end");
@@ -413,11 +417,14 @@
 case!(
     without_the_safeguard_a_lease_is_extended_past_an_unconfirmed_stop,
     {
-        let (_, ends, over) = owner_silent_and_stops_lost(Safeguards {
+        let (_, runs_until, restarted_from) = owner_silent_and_stops_lost(Safeguards {
             unconfirmed_stops_end_leases: false,
             ..Safeguards::default()
         });
-        assert!(ends > over, "it runs until {ends}, and again from {over}");
+        assert!(
+            runs_until > restarted_from,
+            "it runs until {runs_until}, and again from {restarted_from}"
+        );
     }
 );
 
--- a/crates/dispatcher-core/tests/target_restarts.rs
+++ b/crates/dispatcher-core/tests/target_restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their id: they hold nothing and know nothing of before.
+//! Restarts of targets under the same id: the new incarnation holds and knows nothing.
 
 mod support;
 
@@ -7,9 +7,9 @@
 use gannetridge_dispatcher_core::{CallId, Event, Millis, SendFailure, TargetCall, TargetReply};
 use support::{case, ended, step, target, Rig};
 
-/// By how much the first life's clock is ahead of the test's.
+/// The difference between the first incarnation's clock and the test's.
 const CLOCK_OFFSET_MS: Millis = 500_000;
-/// The clock of a life that has just begun.
+/// The clock of a newly started incarnation.
 const RESTARTED_CLOCK: Millis = 40;
 const FIRST_INCARNATION: Born = Born(1_760_000_000_000);
 const NEXT_INCARNATION: Born = Born(1_760_000_009_000);
@@ -33,7 +33,8 @@
     }
 }
 
-/// Takes the one renewal that was sent, with the ends that it acknowledges.
+/// Takes the one renewal that was sent; returns it with the number of the last end that it
+/// acknowledges.
 fn take_renewal(rig: &mut Rig) -> (CallId, u64) {
     let found = rig
         .calls
@@ -46,8 +47,8 @@
     (called.call, acknowledged)
 }
 
-/// A host whose target runs one attempt, and has listed one that ended before; returns it
-/// with the attempt.
+/// Returns a host whose target runs one attempt and has listed the end of another, with the running
+/// attempt.
 fn holder_with_running_attempt() -> (Rig, AttemptId) {
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(vec![target("near", 16)].into()));
@@ -76,7 +77,7 @@
     let (mut rig, lost) = holder_with_running_attempt();
     let (call, acknowledged) = take_renewal(&mut rig);
     assert_eq!(acknowledged, 57);
-    // Also where its clock is ahead by then.
+    // The new incarnation's clock may be ahead.
     let clock = rig.now + CLOCK_OFFSET_MS + 9_000;
     rig.target_reply(call, listing(clock, Some(NEXT_INCARNATION), &[], &[]));
     let (call, acknowledged) = take_renewal(&mut rig);
@@ -90,7 +91,7 @@
         "nothing starts before the new incarnation knows the token"
     );
     rig.target_reply(call, listing(clock, Some(NEXT_INCARNATION), &[], &[]));
-    // The lost task isn't tried at the target that lost it, also not in its new life.
+    // The lost task isn't retried on the target that lost it, not even in its new incarnation.
     rig.submit(2, "0000000000000002", vec![step(1, 7_000, 400)], 1_500);
     let started: Vec<String> = rig.starts().iter().map(|s| s.2.task.to_string()).collect();
     assert_eq!(started, ["0000000000000002.0.0.0"]);
@@ -117,7 +118,7 @@
 
 case!(no_start_carries_the_previous_clock, {
     let (mut rig, _) = holder_with_running_attempt();
-    // The restart shows in a reply to a start: its clock went back.
+    // The restart shows in a reply to a start: the clock went back.
     rig.submit(2, "0000000000000002", vec![step(1, 7_000, 400)], 1_500);
     let (call, _, id) = rig.starts().pop().expect("a start");
     rig.target_reply(
@@ -126,10 +127,10 @@
             clock: RESTARTED_CLOCK,
         },
     );
-    // It came with a time of the old clock, so it is stopped before any other starts.
+    // The start carried a time on the previous clock, so it is stopped before any other starts.
     assert!(rig.stops().contains(&id));
     assert_eq!(rig.starts(), []);
-    // Both renewals are on their way: the one of the old life says nothing any more.
+    // Two renewals are in flight: the reply to the one from before the restart shows nothing.
     let (old, _) = take_renewal(&mut rig);
     rig.target_reply(
         old,
--- a/crates/dispatcher-core/tests/unusable_entries.rs
+++ b/crates/dispatcher-core/tests/unusable_entries.rs
@@ -1,4 +1,4 @@
-//! Targets whose entries in the platform's list can't be used.
+//! Targets whose entries in the platform's list are unusable.
 
 mod support;
 
@@ -23,7 +23,7 @@
     Event::TargetsChanged(vec![TargetChange::There(target(id, 16))])
 }
 
-/// Submits a job of one task and returns whether it was started at once.
+/// Submits a job of one task; returns true if it was started at once.
 fn starts_job(rig: &mut Rig, request_id: u64) -> bool {
     let id = format!("{request_id:016x}");
     rig.submit(request_id, &id, vec![step(1, 7_000, 100)], 1_500);
@@ -80,7 +80,7 @@
     used.sort();
     used.dedup();
     assert_eq!(used, ids[..4]);
-    // The others are known on, and are used once their entries read well.
+    // The other targets stay known, and are used once their entries are usable.
     rig.event(Event::TargetsRead(targets.into()));
     rig.event(Event::Tick);
     assert_eq!(rig.starts().len(), 8);
@@ -114,7 +114,7 @@
     assert!(rig.calls.iter().any(renews));
 });
 
-/// Asks for news of the store and returns the list that is told.
+/// Requests the platform's state and returns the list in the reply.
 fn reported_list(rig: &mut Rig, after: u64) -> ListNews {
     rig.peer_asks(9, Request::PlatformNews { after });
     let (_, reply) = rig.replies.pop().expect("a reply");
@@ -148,7 +148,7 @@
     };
     assert_eq!(list.targets, [target("a", 16)]);
     assert_eq!(list.unusable, [unusable("b")]);
-    // Where none is unusable, hosts of earlier releases can read the list as well.
+    // Without unusable entries, hosts of earlier releases can read the list as well.
     rig.event(becomes_usable("b"));
     store_answers(&mut rig, 12);
     assert!(matches!(reported_list(&mut rig, 0), ListNews::Whole(targets) if targets.len() == 2));
