--- a/crates/dispatcher-core/src/targets/attempt.rs
+++ b/crates/dispatcher-core/src/targets/attempt.rs
@@ -97,7 +97,7 @@
     /// When the target last reported progress.
     progress_received: Millis,
     /// True if the attempt had stalled when the target last reported its progress.
-    pub(super) stalled: bool,
+    pub(super) is_stalled: bool,
     pub(super) stop: StopStage,
     /// True if the owner wants a report of the end.
     pub(super) report_end: bool,
@@ -121,7 +121,7 @@
             latest_start,
             progress: None,
             progress_received: now,
-            stalled: false,
+            is_stalled: false,
             stop: StopStage::NotRequested,
             report_end: true,
         }
@@ -155,7 +155,7 @@
         let first = Progress::first_told(percent, clock);
         let progress = self.progress.get_or_insert(first);
         progress.observe(percent, clock);
-        self.stalled = match &self.forecast {
+        self.is_stalled = match &self.forecast {
             Some(forecast) => progress.is_stalled_beside(clock, forecast.longest_ms),
             None => progress.is_stalled(clock, self.estimate_ms),
         };
--- a/crates/dispatcher-core/src/targets/capacity.rs
+++ b/crates/dispatcher-core/src/targets/capacity.rs
@@ -23,14 +23,14 @@
 pub(super) struct Capacity {
     reported: ToldCapacity,
     /// True if the last listing held a capacity that can't be read.
-    unusable: bool,
+    is_unusable: bool,
 }
 
 impl Capacity {
     pub(super) fn new(entry: Resources) -> Self {
         Self {
             reported: ToldCapacity::new(entry),
-            unusable: false,
+            is_unusable: false,
         }
     }
 }
@@ -62,12 +62,12 @@
         requested: Millis,
         capacity: Option<Result<Resources, EntryFault>>,
     ) -> CapacityChange {
-        let unusable = matches!(capacity, Some(Err(_)));
-        let was_unusable = std::mem::replace(&mut self.capacity.unusable, unusable);
+        let is_unusable = matches!(capacity, Some(Err(_)));
+        let was_unusable = std::mem::replace(&mut self.capacity.is_unusable, is_unusable);
         let usable = capacity.and_then(Result::ok);
         self.capacity.reported.listing_told(requested, usable);
         let change = self.apply_capacity(self.entry.capacity);
-        if unusable && !was_unusable {
+        if is_unusable && !was_unusable {
             return CapacityChange::BecameUnusable;
         }
         change
@@ -76,7 +76,7 @@
     /// Discards the capacity that listings reported; the entry's is in force again.
     pub(super) fn clear_listed_capacity(&mut self) {
         self.capacity.reported.forget_listings();
-        self.capacity.unusable = false;
+        self.capacity.is_unusable = false;
         self.apply_capacity(self.entry.capacity);
     }
 
--- a/crates/dispatcher-core/src/targets/claims.rs
+++ b/crates/dispatcher-core/src/targets/claims.rs
@@ -82,7 +82,7 @@
             };
             let may_acquire = may_acquire && target.lease.backoff_until <= now;
             let is_free = target.lease.is_free() && target.is_idle();
-            let usable = !target.entry_unusable && self.is_pool_named(&target.entry.pool);
+            let usable = !target.is_entry_unusable && self.is_pool_named(&target.entry.pool);
             if is_free && usable && may_acquire && !claimed(id) {
                 acquire.push(id.clone());
             }
--- a/crates/dispatcher-core/src/targets/learned_times.rs
+++ b/crates/dispatcher-core/src/targets/learned_times.rs
@@ -254,7 +254,7 @@
             return true;
         };
         let run_ms = now.saturating_sub(attempt.started);
-        attempt.stalled || learned.last_done + run_ms / 2 < now
+        attempt.is_stalled || learned.last_done + run_ms / 2 < now
     }
 
     /// Updates the slowdown and the forecasts of the attempts.
--- a/crates/dispatcher-core/src/targets/list.rs
+++ b/crates/dispatcher-core/src/targets/list.rs
@@ -24,7 +24,7 @@
 /// The known state of the store.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StoreState {
-    reachable: bool,
+    is_reachable: bool,
     /// When the store last became reachable again; 0 if it was never lost.
     reachable_since: Millis,
     /// Whether the list is settled at another host, if one has sent the list since this host last
@@ -35,7 +35,7 @@
 impl Default for StoreState {
     fn default() -> Self {
         Self {
-            reachable: true,
+            is_reachable: true,
             reachable_since: 0,
             reported_settled: None,
         }
@@ -47,7 +47,8 @@
     /// unreachable or has only just returned. Another host's report takes precedence over this
     /// host's own state of the store.
     pub(super) fn list_is_settled(&self, now: Millis) -> bool {
-        let read_settled = self.reachable && self.reachable_since + SETTLE_AFTER_OUTAGE_MS <= now;
+        let read_settled =
+            self.is_reachable && self.reachable_since + SETTLE_AFTER_OUTAGE_MS <= now;
         self.reported_settled.unwrap_or(read_settled)
     }
 }
@@ -55,10 +56,10 @@
 impl TargetLeases {
     /// Records whether the store is reachable.
     pub fn set_store_reachable(&mut self, now: Millis, reachable: bool) {
-        if reachable && !self.store.reachable {
+        if reachable && !self.store.is_reachable {
             self.store.reachable_since = now;
         }
-        self.store.reachable = reachable;
+        self.store.is_reachable = reachable;
         self.store.reported_settled = None;
     }
 
@@ -76,7 +77,7 @@
     /// Returns true if the store is reachable, as far as this host knows.
     #[must_use]
     pub fn is_store_reachable(&self) -> bool {
-        self.store.reachable
+        self.store.is_reachable
     }
 
     /// Applies changes of the list.
@@ -112,7 +113,7 @@
             return;
         };
         let leaves = entry.leaving && !target.entry.leaving;
-        let usable_again = std::mem::take(&mut target.entry_unusable);
+        let usable_again = std::mem::take(&mut target.is_entry_unusable);
         let capacity = target.update_entry(now, entry);
         target.unlisted_since = None;
         self.unlisted.remove(&id);
@@ -132,7 +133,7 @@
         };
         target.unlisted_since = None;
         self.unlisted.remove(id);
-        if !std::mem::replace(&mut target.entry_unusable, true) {
+        if !std::mem::replace(&mut target.is_entry_unusable, true) {
             target.drop_reservation();
             self.record_target(id, TargetBelief::Unusable, BeliefSource::List);
         }
--- a/crates/dispatcher-core/src/targets/renewals.rs
+++ b/crates/dispatcher-core/src/targets/renewals.rs
@@ -23,9 +23,9 @@
             let gone_by = self.gone_by(now, &self.targets[id]);
             let target = self.targets.get_mut(id);
             let target = target.expect("active targets are known");
-            let waits = self.safeguards.silent_attempts_are_waited_for;
+            let waits_for_lease = self.safeguards.silent_attempts_are_waited_for;
             let silent = target.health.silent_since().is_some();
-            let expired = target.lease.have_attempts_expired(now) || (!waits && silent);
+            let expired = target.lease.have_attempts_expired(now) || (!waits_for_lease && silent);
             if !target.is_idle() && expired {
                 let loss = if target.refuses_since.is_some() {
                     TargetLoss::ProcessGone
@@ -58,9 +58,9 @@
         let target = &self.targets[id];
         // Extending the lease for other attempts would also extend it for the one whose stop isn't
         // confirmed.
-        let renews = extends_lease(target) && !self.lets_lease_expire(target);
+        let extends = extends_lease(target) && !self.lets_lease_expire(target);
         let target = self.targets.get_mut(id).expect("the target was found");
-        let until = if renews {
+        let until = if extends {
             target.extend_lease(now, &self.times)
         } else {
             None
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -44,7 +44,7 @@
     /// Since when the list hasn't shown the target; `None` while it is listed.
     pub(super) unlisted_since: Option<Millis>,
     /// True if the target's present entry is unusable.
-    pub(super) entry_unusable: bool,
+    pub(super) is_entry_unusable: bool,
     pub(super) lease: Lease,
     pub(super) health: TargetHealth,
     /// The learned speed; `None` if running times aren't learned.
@@ -74,7 +74,7 @@
             capacity: Capacity::new(entry.capacity),
             entry,
             unlisted_since: None,
-            entry_unusable: false,
+            is_entry_unusable: false,
             lease: Lease::not_held(),
             health: TargetHealth::default(),
             learned_speed,
@@ -440,7 +440,7 @@
         let not_stopping =
             not_stopping.filter(|(_, attempt)| attempt.stop == StopStage::NotRequested);
         let ending = not_stopping.filter_map(|(id, attempt)| {
-            if attempt.stalled {
+            if attempt.is_stalled {
                 Some((id.clone(), StopReason::Stalled))
             } else if attempt.overruns(now, &self.health) {
                 Some((id.clone(), StopReason::Overrun))
--- a/crates/dispatcher-core/src/targets/usable.rs
+++ b/crates/dispatcher-core/src/targets/usable.rs
@@ -137,7 +137,7 @@
         let is_listed = target.unlisted_since.is_none() || !self.store.list_is_settled(now);
         let is_leaving = target.entry.leaving && self.safeguards.leaving_is_heeded;
         let is_staying =
-            !is_leaving && !target.entry_unusable && !self.is_draining(&target.entry.hall);
+            !is_leaving && !target.is_entry_unusable && !self.is_draining(&target.entry.hall);
         let lease_lasts = !self.lets_lease_expire(target)
             || target.remaining_lease_ms(now) >= MIN_REMAINING_LEASE_MS;
         let may_start = lease_lasts && !self.is_release_due(now, target);
--- a/crates/dispatcher-core/tests/suspended.rs
+++ b/crates/dispatcher-core/tests/suspended.rs
@@ -48,13 +48,13 @@
     /// Starts a peer's task and suspends the host while the peer's next request is queued. Returns
     /// the number of attempts that run or may run after that.
     fn attempts_after_suspension(mut self) -> usize {
-        let began = self.rig.now;
+        let start = self.rig.now;
         let first = order("00000000000000aa.0.0.0", 900);
         self.rig.peer_asks(1, Request::Place(vec![first]));
-        let envelope = queued_place(began);
+        let envelope = queued_place(start);
         self.since_boot.fetch_add(GAP_MS + 10, Ordering::Relaxed);
         self.steady.fetch_add(10, Ordering::Relaxed);
-        self.rig.now = began + self.clock.now().as_millis() as Millis;
+        self.rig.now = start + self.clock.now().as_millis() as Millis;
         self.rig.event(Event::Peer {
             request_id: RequestId(2),
             envelope: Box::new(envelope),
