--- a/crates/dispatcher/src/grace_period.rs
+++ b/crates/dispatcher/src/grace_period.rs
@@ -10,7 +10,7 @@
 use gannetridge_clock::Clock;
 
 /// The exit code of a process that was still at work when its grace period was nearly over.
-pub const CUT_SHORT: i32 = 3;
+pub const INCOMPLETE_SHUTDOWN: i32 = 3;
 /// The process ends this long before its grace period is over: time for the system to clear
 /// it away.
 const ENDS_BEFORE: Duration = Duration::from_millis(100);
@@ -32,7 +32,7 @@
         while !left().is_zero() {
             std::thread::sleep(left().min(LOOK));
         }
-        std::process::exit(CUT_SHORT);
+        std::process::exit(INCOMPLETE_SHUTDOWN);
     })?;
     Ok(())
 }
--- a/crates/dispatcher/src/platform_client.rs
+++ b/crates/dispatcher/src/platform_client.rs
@@ -143,7 +143,7 @@
 pub enum StoreError {
     /// It no longer knows what has changed since.
     #[error("the store's history is gone")]
-    HistoryGone,
+    HistoryExpired,
     /// It asks for fewer calls.
     #[error("the store takes no more calls now")]
     Busy,
--- a/crates/dispatcher/src/store_task.rs
+++ b/crates/dispatcher/src/store_task.rs
@@ -114,7 +114,10 @@
     /// read again whole.
     pub fn failed(&mut self, error: &StoreError) {
         self.answered = false;
-        if matches!(error, StoreError::HistoryGone | StoreError::Unreadable(_)) {
+        if matches!(
+            error,
+            StoreError::HistoryExpired | StoreError::Unreadable(_)
+        ) {
             self.gone = self.version.max(self.gone);
             self.version = None;
         }
@@ -190,7 +193,7 @@
             Err(error) => {
                 info!(event = "store-read-failed", ?table, %error, after = progress.version);
                 progress.failed(&error);
-                if error != StoreError::HistoryGone && reachable(&tx, false).is_err() {
+                if error != StoreError::HistoryExpired && reachable(&tx, false).is_err() {
                     return;
                 }
                 pause.wait().await;
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -44,7 +44,7 @@
 
 case!(what_was_missed_is_read_whole, {
     for error in [
-        StoreError::HistoryGone,
+        StoreError::HistoryExpired,
         StoreError::Unreadable("no JSON".into()),
     ] {
         let mut progress = following();
