--- a/crates/dispatcher/src/caller_api.rs
+++ b/crates/dispatcher/src/caller_api.rs
@@ -21,8 +21,8 @@
     fn drop(&mut self) {
         if let Some(request_id) = self.pending {
             // Sending fails only while the process ends.
-            let gone = Event::CallerGone { request_id };
-            let _ = self.tx.send(Message::Event(gone));
+            let event = Event::CallerGone { request_id };
+            let _ = self.tx.send(Message::Event(event));
         }
     }
 }
--- a/crates/dispatcher/src/metrics.rs
+++ b/crates/dispatcher/src/metrics.rs
@@ -277,11 +277,11 @@
     fn job_ended(&self, queue: &Name, cause: EndCause, took_ms: Millis, objective_ms: Millis) {
         let queue = KeyValue::new("queue", queue.to_string());
         if cause == EndCause::Done {
-            let took = took_ms as f64;
+            let response_ms = took_ms as f64;
             let labels = std::slice::from_ref(&queue);
-            self.response_ms.record(took, labels);
+            self.response_ms.record(response_ms, labels);
             self.response_over_objective
-                .record(took / objective_ms.max(1) as f64, labels);
+                .record(response_ms / objective_ms.max(1) as f64, labels);
         }
         let cause = KeyValue::new("cause", cause.as_str());
         self.jobs_ended.add(1, &[queue, cause]);
--- a/crates/dispatcher/src/store_task.rs
+++ b/crates/dispatcher/src/store_task.rs
@@ -1,10 +1,10 @@
 //! Follows the platform's tables, one task for each table, and writes this host's row.
 //!
-//! A table is read whole once, then by its changes with long polls: the store may wait for a
-//! change before it answers. After a failed read the store isn't allowed to wait, so that its
-//! recovery is noticed at once, and reads are retried after a growing pause.
-//! [`crate::store_pace`] sets the pauses between successful reads. Tables aren't read while
-//! peers report the store's changes.
+//! A table is read whole first, then by its changes with long polls: the store may wait for a
+//! change before it answers. It is read whole again if its changes can't be read. After a
+//! failed read the store isn't allowed to wait, so that its recovery is noticed at once, and
+//! reads are retried after a growing pause. [`crate::store_pace`] sets the pauses between
+//! successful reads. Tables aren't read while peers report the store's changes.
 
 use std::time::Duration;
 
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -45,7 +45,7 @@
 
 /// The message counts and the lateness of timers.
 pub struct Traffic {
-    metric: Counter<u64>,
+    counter: Counter<u64>,
     counts: BTreeMap<MessageKind, MessageCount>,
     /// The total delay of timers since the last log line.
     total_late_ms: Millis,
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Default)]
 struct MessageCount {
     total: u64,
-    /// The part of the total that the metric has.
+    /// The part of the total that was added to the counter.
     published: u64,
 }
 
@@ -68,9 +68,11 @@
     /// Creates the counter of messages on a meter.
     #[must_use]
     pub fn new(meter: &Meter) -> Self {
-        let metric = meter.u64_counter("messages");
+        let counter = meter.u64_counter("messages");
         Self {
-            metric: metric.with_description("Messages, by way and kind").build(),
+            counter: counter
+                .with_description("Messages, by way and kind")
+                .build(),
             counts: BTreeMap::new(),
             total_late_ms: 0,
             max_late_ms: 0,
@@ -110,14 +112,14 @@
         self.timer_count += 1;
     }
 
-    /// Adds the messages counted since the last call to the metric.
+    /// Adds the messages counted since the last call to the exported counter.
     pub fn publish(&mut self) {
         for (message, count) in &mut self.counts {
             let labels = [
                 KeyValue::new("way", message.direction.as_str()),
                 KeyValue::new("kind", message.kind),
             ];
-            self.metric.add(count.total - count.published, &labels);
+            self.counter.add(count.total - count.published, &labels);
             count.published = count.total;
         }
     }
