--- a/crates/dispatcher-core/src/backlog.rs
+++ b/crates/dispatcher-core/src/backlog.rs
@@ -7,7 +7,7 @@
 use gannetridge_wire::Name;
 
 use crate::message::{AttemptId, HandedTask, Priority, PriorityClass};
-use crate::rules::backlog::MOST_HANDED;
+use crate::rules::backlog::MAX_QUEUED_PEER_TASKS;
 use crate::rules::long_tasks::TaskSize;
 use crate::rules::peer_choice::aged;
 use crate::rules::shares::Origin;
@@ -90,7 +90,7 @@
 
     /// Lets a task wait, unless as many do as may.
     pub fn push(&mut self, handed: Handed) {
-        if self.tasks.len() < MOST_HANDED {
+        if self.tasks.len() < MAX_QUEUED_PEER_TASKS {
             self.tasks.push(handed);
         }
     }
--- a/crates/dispatcher-core/src/dispatcher/backlog.rs
+++ b/crates/dispatcher-core/src/dispatcher/backlog.rs
@@ -14,12 +14,12 @@
 use crate::message::{
     AttemptEnd, AttemptId, AttemptOutcome, HandedTask, PoolLoad, Priority, ReplyBody, TaskOrder,
 };
-use crate::rules::backlog::{keeps, patience_ms};
+use crate::rules::backlog::{accepts, near_target_wait_ms};
 use crate::rules::hall_load::expected_wait_ms;
 use crate::rules::long_tasks::TaskSize;
 use crate::rules::shares::Origin;
-use crate::rules::target_choice::NotFound;
-use crate::rules::waiting_order::{Line, Waiting};
+use crate::rules::target_choice::FailedSearches;
+use crate::rules::waiting_order::{Waiting, WaitingTasks};
 use crate::settings::WaitingOrder;
 use crate::spec::Resources;
 use crate::targets::{Owner, OwnerSession, Reach};
@@ -39,8 +39,8 @@
     starts_here: bool,
     /// What this host's targets have to do when the pass begins.
     own_loads: Vec<PoolLoad>,
-    not_here: NotFound,
-    not_at_peers: NotFound,
+    not_here: FailedSearches,
+    not_at_peers: FailedSearches,
 }
 
 impl BacklogPass {
@@ -159,7 +159,7 @@
     /// Places tasks by urgency and shares; who is due changes with each start.
     fn place_by_shares(&mut self, now: Millis, pass: &mut BacklogPass, waiting: &[WaitingHere]) {
         let own_hall = self.own.hall.clone();
-        let mut line = Line::new(waiting.iter().map(|next| next.as_waiting(&own_hall)));
+        let mut line = WaitingTasks::new(waiting.iter().map(|next| next.as_waiting(&own_hall)));
         self.shares.advance(now, line.origins());
         while let Some(position) = line.take_first(&self.shares, |_| true) {
             self.place_next(now, pass, &waiting[position]);
@@ -176,7 +176,7 @@
     /// Counts a task that a peer handed over among those for which room may be kept free.
     fn count_arrival(&mut self, now: Millis, size: &TaskSize, task: &HandedTask) {
         let slack_ms = Millis::try_from(task.priority.slack_ms).unwrap_or(0);
-        self.long_tasks.arrived(now, size, slack_ms);
+        self.long_tasks.record_arrival(now, size, slack_ms);
     }
 
     /// Returns whether a task, if it is long, leaves the room that is kept for shorter and more
@@ -194,7 +194,7 @@
     /// Counts a task that was started here for the shares of its queue and hall.
     pub(super) fn count_start(&mut self, now: Millis, origin: &Origin<'_>, order: &TaskOrder) {
         if self.settings.scheduling.order == WaitingOrder::Shares {
-            self.shares.started(now, origin, order.core_ms());
+            self.shares.record_start(now, origin, order.core_ms());
         }
     }
 
@@ -215,7 +215,8 @@
     fn start_handed(&mut self, now: Millis, handed: &Handed) -> bool {
         let order = &handed.task.order;
         let waited_ms = now.saturating_sub(handed.came);
-        let patient = waited_ms < patience_ms(order.estimate_ms, self.settings.far_slowdown);
+        let patient =
+            waited_ms < near_target_wait_ms(order.estimate_ms, self.settings.far_slowdown);
         let reach =
             if patient && order.rack.is_some() && self.targets.could_run_here(now, order, true) {
                 Reach::Near
@@ -289,7 +290,7 @@
         let loads = self.pool_loads(now);
         let pool = loads.iter().find(|load| load.pool == order.pool);
         let queue_cpu = pool.map_or(0, |load| load.queue_cpu);
-        let kept = keeps(order.resources.cpu, queue_cpu, self.backlog.len())
+        let kept = accepts(order.resources.cpu, queue_cpu, self.backlog.len())
             && self.targets.could_run_here(now, order, false);
         if kept {
             self.backlog.push(handed);
--- a/crates/dispatcher-core/src/dispatcher/caller_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/caller_requests.rs
@@ -12,8 +12,8 @@
 use crate::event::{RequestId, Submit};
 use crate::jobs::Checked;
 use crate::message::PoolLoad;
-use crate::rules::admission::{self, Addressed, Rejected};
-use crate::rules::arrival::{self, Arrival, PoolKnowledge};
+use crate::rules::admission::{self, Rejected, ResolvedRequest};
+use crate::rules::arrival::{self, Arrival, KnownPoolLoad};
 use crate::rules::giving_up::refused_when_stopping;
 use crate::settings::WaitingOrder;
 use crate::targets::Runnable;
@@ -40,7 +40,7 @@
         submit.spec.bound_estimates();
         let path = submit.path.clone();
         let (queue, id) = match admission::check(self.configuration.as_ref(), &submit) {
-            Ok(Addressed { queue, id }) => (queue.clone(), id),
+            Ok(ResolvedRequest { queue, id }) => (queue.clone(), id),
             Err(rejected) => return self.reject(request_id, &path, rejected),
         };
         let objective_ms = queue.latency_objective(submit.spec.chain_ms());
@@ -79,7 +79,7 @@
         let own = own_loads.iter().map(|load| (load, 0));
         let loads = own.chain(self.peers.loads(now));
         let loads = loads.filter(|(load, _)| load.pool == queue.pool);
-        let pool = PoolKnowledge::new(loads, listed_cpu, self.times.heartbeat);
+        let pool = KnownPoolLoad::new(loads, listed_cpu, self.times.heartbeat);
         let mut orders = self.jobs.first_waiting(id).into_iter();
         let has_room = orders.any(|order| has_room(&self.targets, &self.peers, now, &order));
         let arrival = arrival::decide(&pool, &self.jobs.arriving(now, id, has_room));
@@ -93,7 +93,7 @@
         &mut self,
         id: &Name,
         queue: &Queue,
-        pool: &PoolKnowledge,
+        pool: &KnownPoolLoad,
         arrival: &Arrival,
     ) {
         if arrival.forecast == Forecast::OnTime {
@@ -105,7 +105,7 @@
             forecast: arrival.forecast,
             wait_ms: arrival.wait_ms,
             free_cpu: pool.free_cpu(),
-            known_cpu: pool.heard_cpu(),
+            known_cpu: pool.known_cpu(),
             age_ms: pool.age_ms(),
             retry_after_ms: arrival.retry_after_ms,
         });
@@ -132,20 +132,20 @@
 
     /// Answers a question about a job or a queue.
     pub(super) fn query(&mut self, request_id: RequestId, host: &Name, path: &Name) {
-        let answer = match admission::address(self.configuration.as_ref(), host, path) {
+        let answer = match admission::resolve(self.configuration.as_ref(), host, path) {
             Err(rejected) => rejected.answer,
-            Ok(Addressed { queue, id }) if id.is_empty() => {
+            Ok(ResolvedRequest { queue, id }) if id.is_empty() => {
                 Answer::Pending(self.jobs.pending(&queue.name))
             }
-            Ok(Addressed { id, .. }) => self.jobs.state(&id).unwrap_or(Answer::NoJob),
+            Ok(ResolvedRequest { id, .. }) => self.jobs.state(&id).unwrap_or(Answer::NoJob),
         };
         self.answer(request_id, answer);
     }
 
     pub(super) fn cancel(&mut self, now: Millis, request_id: RequestId, host: &Name, path: &Name) {
-        let answer = match admission::address(self.configuration.as_ref(), host, path) {
+        let answer = match admission::resolve(self.configuration.as_ref(), host, path) {
             Err(rejected) => rejected.answer,
-            Ok(Addressed { id, .. }) if self.jobs.cancel(now, &id) => Answer::Cancelled,
+            Ok(ResolvedRequest { id, .. }) if self.jobs.cancel(now, &id) => Answer::Cancelled,
             Ok(_) => Answer::NoJob,
         };
         self.answer(request_id, answer);
--- a/crates/dispatcher-core/src/dispatcher/handing_over.rs
+++ b/crates/dispatcher-core/src/dispatcher/handing_over.rs
@@ -10,8 +10,8 @@
 use crate::jobs::WaitingTask;
 use crate::message::{AttemptId, HandedTask, Reply, ReplyBody, Request, TaskOrder};
 use crate::peers::ChosenHolder;
-use crate::rules::backlog::{latest_begin, may_wait_ms, patience_ms};
-use crate::rules::holder_choice::{HolderView, Place, TaskView};
+use crate::rules::backlog::{latest_start, max_wait_ms, near_target_wait_ms};
+use crate::rules::holder_choice::{Availability, HolderView, TaskView};
 use crate::targets::Reach;
 use crate::Millis;
 
@@ -43,7 +43,7 @@
             self.choose_holder(now, pass, &task, &order, own)
         } else {
             Some(ChosenHolder::Own {
-                waits: own.near != Place::None,
+                waits: own.near != Availability::None,
             })
         };
         match chosen {
@@ -124,7 +124,7 @@
             .start(now, &self.as_owner(), order, reach, urgency);
         if started {
             let slack_ms = Millis::try_from(task.priority.slack_ms).unwrap_or(0);
-            self.long_tasks.arrived(now, &task.size(), slack_ms);
+            self.long_tasks.record_arrival(now, &task.size(), slack_ms);
             let own_hall = self.own.hall.clone();
             self.count_start(now, &task.origin(&own_hall), order);
             self.jobs.started_here(now, &task.job, task.index);
@@ -141,30 +141,31 @@
         order: &TaskOrder,
         may_fit: bool,
     ) -> HolderView {
-        let patient = task.age_ms < patience_ms(order.estimate_ms, self.settings.far_slowdown);
+        let patient =
+            task.age_ms < near_target_wait_ms(order.estimate_ms, self.settings.far_slowdown);
         let waits_near =
             (patient || order.rack.is_none()) && self.targets.could_run_here(now, order, true);
         let near = match pass.own_wait(order, task.priority.urgency) {
-            Some(expected_ms) if waits_near => Place::Wait {
+            Some(expected_ms) if waits_near => Availability::Wait {
                 spare_cpu: order.resources.cpu,
                 expected_ms,
             },
-            Some(_) | None => Place::None,
+            Some(_) | None => Availability::None,
         };
         HolderView {
             other_hall: false,
-            way_ms: 0,
+            transit_ms: 0,
             extra_request: false,
             stale_clock: false,
             near,
             far: if may_fit && order.rack.is_some() {
-                Place::Free {
+                Availability::Free {
                     spare_cpu: order.resources.cpu,
                 }
             } else {
-                Place::None
+                Availability::None
             },
-            news_age_ms: 0,
+            update_age_ms: 0,
         }
     }
 
@@ -190,7 +191,7 @@
         let tasks: Vec<HandedTask> = tasks
             .into_iter()
             .map(|(task, order)| HandedTask {
-                latest_begin: latest_begin(clock, heard_ms_ago, may_wait_ms(&task.priority)),
+                latest_begin: latest_start(clock, heard_ms_ago, max_wait_ms(&task.priority)),
                 order,
                 queue: task.queue,
                 priority: task.priority,
--- a/crates/dispatcher-core/src/dispatcher/load.rs
+++ b/crates/dispatcher-core/src/dispatcher/load.rs
@@ -12,7 +12,7 @@
 use crate::event::SendFailure;
 use crate::message::{HolderLoad, PoolLoad, Reply, ReplyBody, Request, TargetRoom, WaitingWork};
 use crate::peers::KnownRoom;
-use crate::rules::backlog::ROOM_TOLD_MS;
+use crate::rules::backlog::FREE_CAPACITY_INTERVAL_MS;
 use crate::rules::hall_load::HallLoad;
 use crate::spec::Resources;
 use crate::targets::PoolCapacity;
@@ -107,7 +107,8 @@
     /// and the least that any of its tasks needs.
     fn first_demand(&self, now: Millis) -> Option<(Name, Resources)> {
         let demanding = self.peers.iter();
-        let demanding = demanding.filter(|(_, peer)| peer.room_told + ROOM_TOLD_MS <= now);
+        let demanding =
+            demanding.filter(|(_, peer)| peer.room_told + FREE_CAPACITY_INTERVAL_MS <= now);
         let open = demanding.filter_map(|(name, peer)| Some((name, peer.open_demand(now)?)));
         let first = open.min_by(|(_, a), (_, b)| {
             let order = a.priority.partial_cmp(&b.priority);
--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -30,10 +30,10 @@
 use crate::jobs::Jobs;
 use crate::message::HostInfo;
 use crate::peers::Peers;
-use crate::rules::congestion::OwnDelay;
+use crate::rules::congestion::LocalDelay;
 use crate::rules::draining::DrainingHalls;
 use crate::rules::leases::Times;
-use crate::rules::long_tasks::LongTasks;
+use crate::rules::long_tasks::LongTaskLimit;
 use crate::rules::shares::Shares;
 use crate::rules::store_readers::Freshness;
 use crate::settings::{BoundsError, Settings};
@@ -80,7 +80,7 @@
     peers: Peers,
     backlog: Backlog,
     shares: Shares,
-    long_tasks: LongTasks,
+    long_tasks: LongTaskLimit,
     store_news: StoreNews,
     draining: DrainingHalls,
     /// How this host learns what the store holds, as last logged.
@@ -89,7 +89,7 @@
     timers: Timers,
     stopping: Option<Stopping>,
     advertised: Option<Advertised>,
-    own_delay: OwnDelay,
+    own_delay: LocalDelay,
     actions: Vec<Action>,
 }
 
@@ -114,7 +114,7 @@
             peers: Peers::new(own.clone(), &settings.seeds, times),
             backlog: Backlog::default(),
             shares: Shares::default(),
-            long_tasks: LongTasks::default(),
+            long_tasks: LongTaskLimit::default(),
             draining: DrainingHalls::default(),
             noted_reading: None,
             store_news: StoreNews::new(Freshness::new(settings.bounds.drain_ms)),
@@ -126,7 +126,7 @@
             timers: Timers::default(),
             stopping: None,
             advertised: None,
-            own_delay: OwnDelay::default(),
+            own_delay: LocalDelay::default(),
             actions: Vec::new(),
         })
     }
--- a/crates/dispatcher-core/src/dispatcher/owner_leases.rs
+++ b/crates/dispatcher-core/src/dispatcher/owner_leases.rs
@@ -35,7 +35,7 @@
             self.actions.push(crate::Action::Record(Decision::Peer {
                 peer: name.clone(),
                 state,
-                silent_ms: now.saturating_sub(peer.heard.last),
+                silent_ms: now.saturating_sub(peer.heard.last_contact),
             }));
         }
         if self.settings.safeguards.owner_leases_expire {
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -144,7 +144,7 @@
             call,
             address,
             envelope: Box::new(envelope),
-            wait_ms: PEER_WAIT_MS + self.own_delay.added_to_waits(),
+            wait_ms: PEER_WAIT_MS + self.own_delay.extra_wait_ms(),
         });
     }
 
@@ -188,7 +188,7 @@
         let was_sent = !matches!(reply, Err(SendFailure::Refused | SendFailure::NotSent));
         if was_sent && !before_pause {
             self.own_delay.observe(now, now.saturating_sub(sent));
-            self.targets.set_added_wait(self.own_delay.added_to_waits());
+            self.targets.set_added_wait(self.own_delay.extra_wait_ms());
         }
         match callee {
             Callee::Seed => self.seed_replied(now, reply),
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -48,7 +48,7 @@
         if incarnation < peer.info.incarnation {
             return false;
         }
-        peer.heard.last = now;
+        peer.heard.last_contact = now;
         // Of another incarnation than the last reply's only a reply tells: with it,
         // attempts of the earlier incarnation are given up.
         let known = peer.echoed_clock;
--- a/crates/dispatcher-core/src/dispatcher/placement.rs
+++ b/crates/dispatcher-core/src/dispatcher/placement.rs
@@ -10,8 +10,8 @@
 use crate::jobs::{demand, WaitingTask};
 use crate::message::{Demand, Priority, Request, TaskOrder};
 use crate::peers::Peers;
-use crate::rules::peer_choice::is_advertised;
-use crate::rules::target_choice::NotFound;
+use crate::rules::peer_choice::should_advertise;
+use crate::rules::target_choice::FailedSearches;
 use crate::settings::WaitingAt;
 use crate::targets::{Owner, OwnerSession, Reach, TargetLeases};
 use crate::Millis;
@@ -61,8 +61,8 @@
     batches: BTreeMap<Name, Vec<TaskOrder>>,
     /// Those of them that are to run alone on a target.
     alone: BTreeMap<Name, Vec<TaskOrder>>,
-    not_here: NotFound,
-    not_at_peers: NotFound,
+    not_here: FailedSearches,
+    not_at_peers: FailedSearches,
 }
 
 /// Returns whether a target that could run an order has room, here or at a peer that was heard
@@ -238,9 +238,9 @@
             return;
         };
         let last = self.advertised.as_ref();
-        let added_ms = self.own_delay.added_to_demands();
+        let added_ms = self.own_delay.extra_demand_interval_ms();
         let last = last.map(|last| (&last.demand, last.at + added_ms));
-        if !is_advertised(now, &demand, last) {
+        if !should_advertise(now, &demand, last) {
             return;
         }
         self.advertised = Some(Advertised {
--- a/crates/dispatcher-core/src/dispatcher/stopping.rs
+++ b/crates/dispatcher-core/src/dispatcher/stopping.rs
@@ -6,7 +6,7 @@
 //! period: callers keep coming until the platform has seen that it isn't ready.
 
 use crate::action::Action;
-use crate::rules::admission::LAST_ANSWERS_MS;
+use crate::rules::admission::ANSWER_MARGIN_MS;
 use crate::Millis;
 
 use super::Dispatcher;
@@ -44,7 +44,7 @@
         let grace_ms = self.settings.bounds.grace_period_ms;
         let stays_until = since + (grace_ms as f64 * STAYS_SHARE) as Millis;
         let idle = self.jobs.is_empty() && self.targets.attempts() == 0;
-        let last = since + grace_ms.saturating_sub(LAST_ANSWERS_MS);
+        let last = since + grace_ms.saturating_sub(ANSWER_MARGIN_MS);
         if now >= last && !self.jobs.is_empty() {
             self.jobs.end_all(now);
         }
--- a/crates/dispatcher-core/src/dispatcher/store.rs
+++ b/crates/dispatcher-core/src/dispatcher/store.rs
@@ -6,7 +6,7 @@
 use crate::decision::{Decision, StoreReading};
 use crate::event::{SendFailure, StoreTable};
 use crate::message::{ListNews, PlatformNewsReply, Reply, ReplyBody, Request, StoreNewsReply};
-use crate::rules::store_readers::{readers, to_ask};
+use crate::rules::store_readers::{reader_to_ask, readers};
 use crate::store_news::OwnState;
 use crate::Millis;
 
@@ -71,7 +71,7 @@
             return;
         }
         let hosts = self.peers.staying(now, false);
-        let asked = to_ask(&hosts, &self.own, self.store_news.asked_next());
+        let asked = reader_to_ask(&hosts, &self.own, self.store_news.asked_next());
         if let Some(name) = asked {
             let after = self.store_news.version(StoreTable::Targets);
             let purpose = Purpose::StoreNews { asked: now };
--- a/crates/dispatcher-core/src/dispatcher/timers.rs
+++ b/crates/dispatcher-core/src/dispatcher/timers.rs
@@ -10,9 +10,9 @@
 use crate::jobs::{Place, StopAttempt, Surroundings};
 use crate::message::{AttemptEnd, AttemptId, Heartbeat, HostInfo, Request, TaskOrder};
 use crate::peers::StopRequest;
-use crate::rules::giving_up::is_starting;
+use crate::rules::giving_up::is_host_starting;
 use crate::rules::leases::Times;
-use crate::rules::liveness::knows_others;
+use crate::rules::liveness::knows_peers;
 use crate::targets::EndReport;
 use crate::Millis;
 
@@ -96,7 +96,7 @@
     /// tick: jobs that waited for the first ones are placed before any is given up.
     fn is_starting(&mut self, now: Millis) -> bool {
         let age_ms = now.saturating_sub(self.timers.started.unwrap_or(now));
-        let starting = is_starting(age_ms, self.timers.held_targets);
+        let starting = is_host_starting(age_ms, self.timers.held_targets);
         self.timers.held_targets = self.timers.held_targets || self.targets.holds_any_lease();
         starting
     }
@@ -107,7 +107,7 @@
         }
         self.timers.next_assignment = now + ASSIGNMENT_MS;
         let started = self.timers.started.unwrap_or(now);
-        let knows_others = knows_others(now, started, self.peers.hears_nobody());
+        let knows_others = knows_peers(now, started, self.peers.hears_nobody());
         let may_acquire = started + SETTLE_MS <= now && knows_others;
         let hosts = self.assigning_hosts(now);
         let peers = &self.peers;
--- a/crates/dispatcher-core/src/jobs/attempts.rs
+++ b/crates/dispatcher-core/src/jobs/attempts.rs
@@ -9,7 +9,7 @@
 
 use crate::decision::EndCause;
 use crate::message::{AttemptEnd, AttemptId, AttemptOutcome};
-use crate::rules::peer_choice::ASK_AGAIN_MS;
+use crate::rules::peer_choice::REQUEST_RETRY_MS;
 use crate::rules::retry::{self, Next};
 use crate::Millis;
 
@@ -76,7 +76,7 @@
         let state = if started {
             TaskState::Running(Place::Peer(peer.clone()))
         } else {
-            task.ask_after = now + ASK_AGAIN_MS;
+            task.ask_after = now + REQUEST_RETRY_MS;
             TaskState::Waiting
         };
         self.set(now, &job, index, state);
@@ -103,8 +103,8 @@
         let waited = matches!(task.state, TaskState::HandedOver(_));
         job.starts += u32::from(begun && waited);
         job.next_due = 0;
-        let consequence = retry::after(end.outcome, task.failures, max_attempts);
-        task.attempt += consequence.advance;
+        let consequence = retry::consequence_of(end.outcome, task.failures, max_attempts);
+        task.attempt += consequence.attempt_increment;
         task.failures += u32::from(consequence.failed);
         if consequence.avoid_target {
             task.avoid(&end.target);
--- a/crates/dispatcher-core/src/jobs/crashes.rs
+++ b/crates/dispatcher-core/src/jobs/crashes.rs
@@ -12,8 +12,8 @@
 use crate::action::Action;
 use crate::decision::{Decision, EndCause, Suspicion};
 use crate::message::{AttemptEnd, CrashRecord};
-use crate::rules::crashes::{Crashes, Verdict};
-use crate::rules::retry::REMEMBERED_MS;
+use crate::rules::crashes::{CrashDecision, Crashes};
+use crate::rules::retry::ANSWER_RETENTION_MS;
 use crate::Millis;
 
 use super::ending::remember;
@@ -48,7 +48,12 @@
         }
         history.attempt = end.id.attempt;
         history.last = now;
-        remember(&mut self.tasks, &end.id.task, history, now + REMEMBERED_MS);
+        remember(
+            &mut self.tasks,
+            &end.id.task,
+            history,
+            now + ANSWER_RETENTION_MS,
+        );
         self.news.insert(end.id.task.clone());
         Some(history.crashes)
     }
@@ -61,7 +66,7 @@
             beside_others: record.beside_others,
             perhaps: record.perhaps,
         };
-        let crashes = known.crashes.most(&theirs);
+        let crashes = known.crashes.elementwise_max(&theirs);
         let history = History {
             crashes,
             attempt: known.attempt.max(record.attempt),
@@ -71,7 +76,12 @@
                 now
             },
         };
-        remember(&mut self.tasks, &record.task, history, now + REMEMBERED_MS);
+        remember(
+            &mut self.tasks,
+            &record.task,
+            history,
+            now + ANSWER_RETENTION_MS,
+        );
     }
 
     fn history(&self, task: &str) -> Option<History> {
@@ -79,9 +89,9 @@
     }
 
     /// Returns what becomes of a task.
-    fn verdict(&self, now: Millis, task: &str) -> Verdict {
+    fn verdict(&self, now: Millis, task: &str) -> CrashDecision {
         let history = self.history(task).unwrap_or_default();
-        history.crashes.verdict(now.saturating_sub(history.last))
+        history.crashes.decision(now.saturating_sub(history.last))
     }
 
     /// Returns the tasks of a job that are known.
@@ -103,10 +113,10 @@
     fn ends(&self, job: &str) -> Option<EndCause> {
         let mut cause = None;
         for (_, history) in self.of_job(job) {
-            match history.crashes.verdict(0) {
-                Verdict::GivenUp => return Some(EndCause::Crashing),
-                Verdict::GivenUpInDoubt => cause = Some(EndCause::PerhapsCrashing),
-                Verdict::Trusted | Verdict::Quarantined => {}
+            match history.crashes.decision(0) {
+                CrashDecision::GivenUp => return Some(EndCause::Crashing),
+                CrashDecision::GivenUpUnconfirmed => cause = Some(EndCause::PerhapsCrashing),
+                CrashDecision::Trusted | CrashDecision::Quarantined => {}
             }
         }
         cause
@@ -118,7 +128,7 @@
         let tasks: Vec<Name> = self.of_job(job).map(|(task, _)| task.clone()).collect();
         for task in tasks {
             if let Some(remembered) = self.tasks.get_mut(&task) {
-                remembered.until = now + REMEMBERED_MS;
+                remembered.until = now + ANSWER_RETENTION_MS;
                 self.news.insert(task);
             }
         }
@@ -143,9 +153,9 @@
         let Some(crashes) = self.crashed.count(now, end) else {
             return;
         };
-        let suspicion = match crashes.verdict(0) {
-            Verdict::GivenUp | Verdict::GivenUpInDoubt => Suspicion::GivenUp,
-            Verdict::Trusted | Verdict::Quarantined => Suspicion::Suspect,
+        let suspicion = match crashes.decision(0) {
+            CrashDecision::GivenUp | CrashDecision::GivenUpUnconfirmed => Suspicion::GivenUp,
+            CrashDecision::Trusted | CrashDecision::Quarantined => Suspicion::Suspect,
         };
         self.record_suspicion(&end.id.task, crashes, suspicion);
         self.end_if_given_up(now, &end.id.task);
@@ -187,7 +197,8 @@
     #[must_use]
     pub(super) fn runs_alone(&self, now: Millis, task: impl FnOnce() -> Name) -> bool {
         // Most of the time there is none.
-        !self.crashed.tasks.is_empty() && self.crashed.verdict(now, &task()) == Verdict::Quarantined
+        !self.crashed.tasks.is_empty()
+            && self.crashed.verdict(now, &task()) == CrashDecision::Quarantined
     }
 
     /// Looks at what is known of a job that was accepted.
--- a/crates/dispatcher-core/src/jobs/ending.rs
+++ b/crates/dispatcher-core/src/jobs/ending.rs
@@ -13,7 +13,7 @@
 use crate::event::RequestId;
 use crate::message::TaskOrder;
 use crate::rules::giving_up::{self, OpenJob};
-use crate::rules::retry::REMEMBERED_MS;
+use crate::rules::retry::ANSWER_RETENTION_MS;
 use crate::settings::WaitingOrder;
 use crate::Millis;
 
@@ -81,14 +81,17 @@
         let passed_over =
             job.is_late() && giving_up::is_passed_over(around.order, urgency, on_time);
         let open = job.open(passed_over, around.starting);
-        let cause = giving_up::due(now, &open, job.open_estimates())?;
+        let cause = giving_up::end_cause(now, &open, job.open_estimates())?;
         // Room is looked for last, and only where it matters: it costs a look at all targets.
-        if around.order == WaitingOrder::Class || !giving_up::says_no_room(cause) {
+        if around.order == WaitingOrder::Class || !giving_up::is_lack_of_resources(cause) {
             return Some(cause);
         }
         let has_room = self.first_waiting(id).iter().any(&around.has_room);
-        let open = OpenJob { has_room, ..open };
-        giving_up::due(now, &open, job.open_estimates())
+        let open = OpenJob {
+            has_free_target: has_room,
+            ..open
+        };
+        giving_up::end_cause(now, &open, job.open_estimates())
     }
 
     /// The caller of a request is gone; its job ends unless others wait.
@@ -190,7 +193,7 @@
     /// Remembers a final answer; of a job that may be sent again, from where its
     /// attempts are counted then.
     fn remember_end(&mut self, now: Millis, id: &Name, job: &Job, answer: Answer) {
-        let until = now + REMEMBERED_MS;
+        let until = now + ANSWER_RETENTION_MS;
         if matches!(answer, Answer::Completed | Answer::Cancelled) {
             remember(&mut self.answers, id, answer, until);
         } else {
--- a/crates/dispatcher-core/src/jobs/job.rs
+++ b/crates/dispatcher-core/src/jobs/job.rs
@@ -129,7 +129,7 @@
         let job = WaitingJob {
             age_ms: now.saturating_sub(self.accepted),
             objective_ms: self.objective_ms,
-            begun: self.begun,
+            started: self.begun,
             urgency: self.queue.urgency,
         };
         priority(&job, self.spec.steps[step].estimate_ms)
@@ -148,11 +148,11 @@
             accepted: self.accepted,
             deadline: self.deadline,
             objective_ms: self.objective_ms,
-            may_have_begun: self.may_have_begun(),
-            runs: self.runs(),
+            may_have_started: self.may_have_begun(),
+            is_running: self.runs(),
             passed_over,
-            has_room: false,
-            starting,
+            has_free_target: false,
+            host_is_starting: starting,
         }
     }
 
--- a/crates/dispatcher-core/src/jobs/mod.rs
+++ b/crates/dispatcher-core/src/jobs/mod.rs
@@ -22,7 +22,7 @@
 use crate::event::{RequestId, Submit};
 use crate::message::AttemptId;
 use crate::rules::admission::MAX_JOBS;
-use crate::rules::arrival::Arriving;
+use crate::rules::arrival::ArrivingJob;
 use crate::rules::giving_up::refused_when_full;
 use crate::settings::Safeguards;
 use crate::Millis;
@@ -132,16 +132,16 @@
     ///
     /// Panics if there is no such job.
     #[must_use]
-    pub fn arriving<'a>(&self, now: Millis, id: &'a Name, has_room: bool) -> Arriving<'a> {
+    pub fn arriving<'a>(&self, now: Millis, id: &'a Name, has_room: bool) -> ArrivingJob<'a> {
         let job = &self.jobs[id];
-        Arriving {
+        ArrivingJob {
             id,
             urgency: job.queue.urgency,
             core_ms: job.spec.core_ms(),
             chain_ms: job.spec.chain_ms(),
             objective_ms: job.objective_ms,
             deadline_ms: job.deadline.saturating_sub(now),
-            has_room,
+            has_free_target: has_room,
         }
     }
 
--- a/crates/dispatcher-core/src/peers/choice.rs
+++ b/crates/dispatcher-core/src/peers/choice.rs
@@ -8,10 +8,10 @@
 
 use super::{Peer, Peers};
 use crate::message::{PoolLoad, Priority, TaskOrder};
-use crate::rules::backlog::may_wait_ms;
+use crate::rules::backlog::max_wait_ms;
 use crate::rules::hall_load::HallLoad;
-use crate::rules::holder_choice::{choose, Begin, HolderView, Place, TaskView};
-use crate::rules::peer_choice::{freer_of_two, Preference, ADVERTISED_PEERS};
+use crate::rules::holder_choice::{choose, Availability, ExpectedStart, HolderView, TaskView};
+use crate::rules::peer_choice::{freer_of_two, Preference, MAX_ADVERTISED_PEERS};
 use crate::spec::Resources;
 use crate::Millis;
 
@@ -160,10 +160,10 @@
                 views.push(view);
             }
         }
-        let choice = choose(task, &views, may_wait_ms(priority))?;
+        let choice = choose(task, &views, max_wait_ms(priority))?;
         let Some(name) = names[choice.holder].cloned() else {
             return Some(ChosenHolder::Own {
-                waits: choice.begin == Begin::AfterWait,
+                waits: choice.start == ExpectedStart::AfterWait,
             });
         };
         let has_fresh_clock = !views[choice.holder].stale_clock;
@@ -186,13 +186,13 @@
         is_asked: impl Fn(&Name) -> bool,
     ) -> Option<HolderView> {
         let places = peer.places(now, order, urgency);
-        if places.near == Place::None && places.far == Place::None {
+        if places.near == Availability::None && places.far == Availability::None {
             return None;
         }
         let other_hall = peer.info.hall != self.own.hall;
         Some(HolderView {
             other_hall,
-            way_ms: if other_hall {
+            transit_ms: if other_hall {
                 OTHER_HALL_WAY_MS
             } else {
                 HALL_WAY_MS
@@ -201,7 +201,7 @@
             stale_clock: !peer.has_fresh_clock(now),
             near: places.near,
             far: places.far,
-            news_age_ms: places.age_ms,
+            update_age_ms: places.age_ms,
         })
     }
 
@@ -215,7 +215,7 @@
         let open = if serving.is_empty() { drained } else { serving };
         let open: Vec<&Name> = open.into_iter().map(|(name, _)| name).collect();
         let first = self.next_advertised % open.len().max(1);
-        let count = ADVERTISED_PEERS.min(open.len());
+        let count = MAX_ADVERTISED_PEERS.min(open.len());
         let chosen = open.iter().cycle().skip(first).take(count);
         let chosen: Vec<Name> = chosen.map(|name| (*name).clone()).collect();
         self.next_advertised = first + chosen.len();
--- a/crates/dispatcher-core/src/peers/load.rs
+++ b/crates/dispatcher-core/src/peers/load.rs
@@ -7,7 +7,7 @@
 
 use crate::message::{PoolLoad, TaskOrder, WaitingWork};
 use crate::rules::hall_load::expected_wait_ms;
-use crate::rules::holder_choice::Place;
+use crate::rules::holder_choice::Availability;
 use crate::rules::target_choice::suits;
 use crate::spec::Resources;
 use crate::target_list::TargetEntry;
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BelievedPlaces {
     /// On targets near its data.
-    pub near: Place,
+    pub near: Availability,
     /// On other targets.
-    pub far: Place,
+    pub far: Availability,
     /// The age of that belief, in ms.
     pub age_ms: Millis,
 }
@@ -91,8 +91,8 @@
     /// Returns where it could take a task, whose queue has this urgency.
     pub(super) fn places(&self, now: Millis, order: &TaskOrder, urgency: u8) -> BelievedPlaces {
         let mut places = BelievedPlaces {
-            near: Place::None,
-            far: Place::None,
+            near: Availability::None,
+            far: Availability::None,
             age_ms: now.saturating_sub(self.load.heard),
         };
         let (mut near_cpu, mut far_cpu) = (0, 0);
@@ -113,17 +113,17 @@
             Some(rack) => self.load.labels.contains(rack),
             None => true,
         };
-        if places.near == Place::None && holds_near {
+        if places.near == Availability::None && holds_near {
             places.near = wait;
         }
-        if places.far == Place::None && order.rack.is_some() {
+        if places.far == Availability::None && order.rack.is_some() {
             places.far = wait;
         }
         places
     }
 
     /// Returns how a task is expected to wait there, if it may.
-    fn expected_wait(&self, order: &TaskOrder, urgency: u8) -> Option<Place> {
+    fn expected_wait(&self, order: &TaskOrder, urgency: u8) -> Option<Availability> {
         let mut pools = self.load.pools.iter();
         let pool = pools.find(|load| load.pool == order.pool)?;
         if order.resources.cpu > pool.queue_cpu {
@@ -132,7 +132,7 @@
         let capacity_cpu = u64::from(pool.capacity_cpu);
         let core_ms = order.core_ms();
         let expected_ms = expected_wait_ms(&pool.waiting, capacity_cpu, urgency, core_ms)?;
-        Some(Place::Wait {
+        Some(Availability::Wait {
             spare_cpu: pool.queue_cpu,
             expected_ms,
         })
@@ -169,11 +169,11 @@
     }
 }
 
-fn free_or_none(spare_cpu: u32) -> Place {
+fn free_or_none(spare_cpu: u32) -> Availability {
     if spare_cpu > 0 {
-        Place::Free { spare_cpu }
+        Availability::Free { spare_cpu }
     } else {
-        Place::None
+        Availability::None
     }
 }
 
--- a/crates/dispatcher-core/src/peers/membership.rs
+++ b/crates/dispatcher-core/src/peers/membership.rs
@@ -7,7 +7,9 @@
 
 use super::Peers;
 use crate::message::HostInfo;
-use crate::rules::membership::{tells, Tells, LISTED_AT_MOST, WHOLE_LIST_INTERVAL_MS};
+use crate::rules::membership::{
+    hosts_to_send, HostsToSend, MAX_LISTED_HOSTS, WHOLE_LIST_INTERVAL_MS,
+};
 use crate::Millis;
 
 /// What was told of the known hosts, and a hash of them.
@@ -69,13 +71,13 @@
         }
         let since = *peer.differs_since.get_or_insert(now);
         let may_tell_whole = self.membership.next_whole <= now;
-        match tells(now.saturating_sub(since), knows_nobody, may_tell_whole) {
-            Tells::All => {
+        match hosts_to_send(now.saturating_sub(since), knows_nobody, may_tell_whole) {
+            HostsToSend::All => {
                 peer.differs_since = Some(now);
                 self.membership.next_whole = now + WHOLE_LIST_INTERVAL_MS;
                 self.hosts()
             }
-            Tells::LearntWithin(ms) => self.hosts_learnt_since(now.saturating_sub(ms), name),
+            HostsToSend::LearntWithin(ms) => self.hosts_learnt_since(now.saturating_sub(ms), name),
         }
     }
 
@@ -88,7 +90,7 @@
             .map(|(_, peer)| peer)
             .collect();
         learnt.sort_by_key(|peer| std::cmp::Reverse(peer.learnt));
-        learnt.truncate(LISTED_AT_MOST);
+        learnt.truncate(MAX_LISTED_HOSTS);
         learnt.iter().map(|peer| peer.info.clone()).collect()
     }
 }
--- a/crates/dispatcher-core/src/peers/mod.rs
+++ b/crates/dispatcher-core/src/peers/mod.rs
@@ -21,10 +21,10 @@
 use gannetridge_wire::Name;
 
 use crate::message::{HeartbeatReply, HostInfo, Reply};
-use crate::rules::draining::Halls;
-use crate::rules::heartbeat_intervals::{first_far_heartbeat, HeartbeatIntervals};
+use crate::rules::draining::HallSet;
+use crate::rules::heartbeat_intervals::{first_far_heartbeat_delay_ms, HeartbeatIntervals};
 use crate::rules::leases::Times;
-use crate::rules::liveness::{is_in_minority, may_be_there};
+use crate::rules::liveness::{is_in_minority, may_be_alive};
 use crate::Millis;
 
 pub use choice::ChosenHolder;
@@ -48,7 +48,7 @@
     /// The position of the peer to which the next demand is advertised first.
     next_advertised: usize,
     /// The halls that get no new tasks.
-    draining: Halls,
+    draining: HallSet,
     seeds: Vec<SocketAddr>,
     /// When seeds are asked next.
     next_seeds: Millis,
@@ -67,7 +67,7 @@
             far: HeartbeatIntervals::far(&times, 0),
             membership: Membership::default(),
             next_advertised: 0,
-            draining: Halls::default(),
+            draining: HallSet::default(),
             next_seeds: 0,
             peers: BTreeMap::new(),
         };
@@ -119,7 +119,7 @@
         if info.hall == self.own.hall || self.near == self.far {
             0
         } else {
-            first_far_heartbeat(&self.own.name, &info.name)
+            first_far_heartbeat_delay_ms(&self.own.name, &info.name)
         }
     }
 
@@ -133,8 +133,8 @@
     }
 
     /// Takes note of the halls that get no new tasks from now on.
-    pub fn set_draining(&mut self, halls: &Halls) {
-        self.draining = Halls::clone(halls);
+    pub fn set_draining(&mut self, halls: &HallSet) {
+        self.draining = HallSet::clone(halls);
     }
 
     /// Takes other seeds.
@@ -180,11 +180,11 @@
 
     /// Returns the hosts that share the targets: those that live and stay, and those that
     /// had no time to answer since this host heard of them; see
-    /// [`crate::rules::liveness::may_be_there`].
+    /// [`crate::rules::liveness::may_be_alive`].
     #[must_use]
     pub fn sharing(&self, now: Millis, own_stays: bool) -> Vec<HostInfo> {
         let unheard = self.peers.values();
-        let unheard = unheard.filter(|peer| may_be_there(now, peer.learnt, &peer.heard));
+        let unheard = unheard.filter(|peer| may_be_alive(now, peer.learnt, &peer.heard));
         let unheard = unheard.map(|peer| peer.info.clone());
         let staying = self.staying(now, own_stays);
         staying.into_iter().chain(unheard).collect()
@@ -208,8 +208,8 @@
         let minority = is_in_minority(now, &self.near, heard);
         let mut peers = self.peers.values();
         peers.any(|peer| {
-            let unheard = minority && peer.heard.was_there(now);
-            let keeps = peer.heard.keeps_targets(now, &peer.intervals) || unheard;
+            let unheard = minority && peer.heard.was_recently_alive(now);
+            let keeps = peer.heard.retains_targets(now, &peer.intervals) || unheard;
             keeps && peer.has_leased(target)
         })
     }
@@ -290,7 +290,7 @@
     pub fn forget(&mut self, now: Millis) {
         let before = self.peers.len();
         self.peers
-            .retain(|_, peer| peer.heard.last + FORGET_MS > now);
+            .retain(|_, peer| peer.heard.last_contact + FORGET_MS > now);
         if self.peers.len() != before {
             self.hosts_changed();
         }
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -10,7 +10,7 @@
     TaskOrder,
 };
 use crate::rules::heartbeat_intervals::HeartbeatIntervals;
-use crate::rules::liveness::Heard;
+use crate::rules::liveness::PeerContact;
 use crate::targets::OwnerSession;
 use crate::Millis;
 
@@ -41,7 +41,7 @@
     /// Since when its heartbeats show that it knows other hosts than this one.
     pub(super) differs_since: Option<Millis>,
     /// What was heard of it, and when.
-    pub heard: Heard,
+    pub heard: PeerContact,
     /// Its clock as last heard, to be sent back.
     pub echoed_clock: Option<EchoedClock>,
     /// Whether it was taken to live when last looked at.
@@ -89,9 +89,9 @@
             intervals,
             learnt: now,
             differs_since: None,
-            heard: Heard {
-                last: now,
-                ..Heard::default()
+            heard: PeerContact {
+                last_contact: now,
+                ..PeerContact::default()
             },
             echoed_clock: None,
             was_alive: false,
@@ -132,7 +132,7 @@
 
     /// Returns whether it may hold targets: it lives, or is slow, and stays.
     pub(super) fn stays(&self, now: Millis) -> bool {
-        !self.leaving && self.heard.keeps_targets(now, &self.intervals)
+        !self.leaving && self.heard.retains_targets(now, &self.intervals)
     }
 
     /// Returns whether it said that it holds a target's lease.
@@ -189,7 +189,7 @@
     /// Handles what every reply says.
     pub(super) fn replied(&mut self, now: Millis, reply: &Reply) {
         self.hear_clock(now, reply.incarnation, reply.clock);
-        self.heard.last = now;
+        self.heard.last_contact = now;
         self.heard.refused = false;
         self.heard.unanswered_since = None;
         self.free = reply.free.clone();
--- a/crates/dispatcher-core/src/rules/admission.rs
+++ b/crates/dispatcher-core/src/rules/admission.rs
@@ -27,7 +27,7 @@
 pub const MAX_JOBS: usize = 2_000;
 /// A stopping host ends its last jobs this long before its grace period is over,
 /// in ms, so that their answers leave. Chosen, not measured.
-pub const LAST_ANSWERS_MS: Millis = 500;
+pub const ANSWER_MARGIN_MS: Millis = 500;
 
 /// A request that is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 
 /// A request for a known queue.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Addressed<'a> {
+pub struct ResolvedRequest<'a> {
     /// The queue.
     pub queue: &'a Queue,
     /// The job's id; empty for a request about the queue itself.
@@ -52,11 +52,11 @@
 /// # Errors
 ///
 /// Fails without a configuration, and if there is no such queue.
-pub fn address<'a>(
+pub fn resolve<'a>(
     configuration: Option<&'a Configuration>,
     host: &str,
     path: &str,
-) -> Result<Addressed<'a>, Rejected> {
+) -> Result<ResolvedRequest<'a>, Rejected> {
     let configuration = configuration.ok_or(Rejected {
         reason: Rejection::NoConfiguration,
         answer: Answer::NotReady,
@@ -66,7 +66,7 @@
         answer: Answer::NoQueue,
     })?;
     let id = path[queue.prefix.len()..].into();
-    Ok(Addressed { queue, id })
+    Ok(ResolvedRequest { queue, id })
 }
 
 /// Checks a submitted job as far as neither this host nor targets matter.
@@ -77,8 +77,8 @@
 pub fn check<'a>(
     configuration: Option<&'a Configuration>,
     submit: &Submit,
-) -> Result<Addressed<'a>, Rejected> {
-    let addressed = address(configuration, &submit.host, &submit.path)?;
+) -> Result<ResolvedRequest<'a>, Rejected> {
+    let addressed = resolve(configuration, &submit.host, &submit.path)?;
     check_id(&addressed.id)
         .and_then(|()| submit.spec.check())
         .map_err(|error| Rejected {
@@ -97,5 +97,5 @@
     stopping_since: Millis,
     grace_period_ms: Millis,
 ) -> bool {
-    now + objective_ms >= stopping_since + grace_period_ms - LAST_ANSWERS_MS
+    now + objective_ms >= stopping_since + grace_period_ms - ANSWER_MARGIN_MS
 }
--- a/crates/dispatcher-core/src/rules/arrival.rs
+++ b/crates/dispatcher-core/src/rules/arrival.rs
@@ -8,7 +8,7 @@
 //! their ids over as long again.
 //!
 //! Nothing is refused while a target that could run it has room, as this host knows, nor where
-//! too little is known: less than `HEARD_PART` of the pool's processor time was heard of
+//! too little is known: less than `MIN_KNOWN_SHARE` of the pool's processor time was heard of
 //! lately. A host that has just started knows nothing, so its jobs wait for the first targets.
 //!
 //! **Inputs.** Loads of hosts' targets ([`PoolLoad`]) with their age in ms, at which each
@@ -32,16 +32,16 @@
 
 /// The part of a pool's processor time that must be known of for a refusal: then the rest
 /// can't hold as much room again.
-const HEARD_PART: f64 = 0.5;
+const MIN_KNOWN_SHARE: f64 = 0.5;
 /// The least and the longest time after which a refused caller may come back, in ms: the load
 /// of other hosts is known no sooner, and not foreseen for longer.
 const RETRY_AFTER_MS: (Millis, Millis) = (200, 3_000);
 
 /// What is known of the targets of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct PoolKnowledge {
+pub struct KnownPoolLoad {
     /// Thousandths of a core that the targets have that were heard of lately.
-    heard_cpu: u64,
+    known_cpu: u64,
     used_cpu: u64,
     /// Thousandths of a core that all targets of the list have.
     listed_cpu: u64,
@@ -51,7 +51,7 @@
     age_ms: Option<Millis>,
 }
 
-impl PoolKnowledge {
+impl KnownPoolLoad {
     /// Sums up loads of the pool's holders, each with its age; those older than `fresh_ms`
     /// don't count. `listed_cpu` thousandths of a core are in the list of targets.
     #[must_use]
@@ -72,7 +72,7 @@
 
     fn add(&mut self, load: &PoolLoad, age_ms: Millis) {
         let capacity_cpu = u64::from(load.capacity_cpu);
-        self.heard_cpu += capacity_cpu;
+        self.known_cpu += capacity_cpu;
         self.used_cpu += u64::from(load.used_cpu);
         self.age_ms = Some(self.age_ms.unwrap_or(0).max(age_ms));
         // The most urgent comes first, and may have been done since.
@@ -86,21 +86,21 @@
 
     /// Returns whether enough is known for a refusal.
     #[must_use]
-    pub fn is_enough(&self) -> bool {
-        let needed = HEARD_PART * self.listed_cpu as f64;
-        self.heard_cpu > 0 && self.heard_cpu as f64 >= needed
+    pub fn is_sufficient(&self) -> bool {
+        let needed = MIN_KNOWN_SHARE * self.listed_cpu as f64;
+        self.known_cpu > 0 && self.known_cpu as f64 >= needed
     }
 
     /// Returns the thousandths of a core that were heard of and aren't in use.
     #[must_use]
     pub fn free_cpu(&self) -> u64 {
-        self.heard_cpu.saturating_sub(self.used_cpu)
+        self.known_cpu.saturating_sub(self.used_cpu)
     }
 
     /// Returns the thousandths of a core that were heard of.
     #[must_use]
-    pub fn heard_cpu(&self) -> u64 {
-        self.heard_cpu
+    pub fn known_cpu(&self) -> u64 {
+        self.known_cpu
     }
 
     /// Returns the age of the oldest load that counts, in ms.
@@ -118,13 +118,13 @@
     #[must_use]
     pub fn wait_ms(&self, urgency: u8, more_core_ms: u64) -> Millis {
         let before: u64 = self.waiting.range(..=urgency).map(|(_, work)| work).sum();
-        (before + more_core_ms) * 1_000 / self.heard_cpu
+        (before + more_core_ms) * 1_000 / self.known_cpu
     }
 }
 
 /// A job that arrives; times in ms.
 #[derive(Clone, Copy, Debug)]
-pub struct Arriving<'a> {
+pub struct ArrivingJob<'a> {
     /// Its id.
     pub id: &'a Name,
     /// Its queue's urgency; 0 is the most urgent.
@@ -138,7 +138,7 @@
     /// How long its caller waits.
     pub deadline_ms: Millis,
     /// Whether a target that could run it has room, here or at a peer that was heard lately.
-    pub has_room: bool,
+    pub has_free_target: bool,
 }
 
 /// What becomes of a job on its arrival.
@@ -153,7 +153,7 @@
 }
 
 impl Arrival {
-    fn taken(forecast: Forecast, wait_ms: Option<Millis>) -> Self {
+    fn accepted(forecast: Forecast, wait_ms: Option<Millis>) -> Self {
         Self {
             forecast,
             wait_ms,
@@ -164,19 +164,19 @@
 
 /// Decides whether a job is taken.
 #[must_use]
-pub fn decide(pool: &PoolKnowledge, job: &Arriving<'_>) -> Arrival {
-    if !pool.is_enough() {
-        return Arrival::taken(Forecast::Unknown, None);
+pub fn decide(pool: &KnownPoolLoad, job: &ArrivingJob<'_>) -> Arrival {
+    if !pool.is_sufficient() {
+        return Arrival::accepted(Forecast::Unknown, None);
     }
     let wait_ms = pool.wait_ms(job.urgency, job.core_ms);
     let slack_ms = job.objective_ms.saturating_sub(job.chain_ms);
-    if job.has_room || wait_ms <= slack_ms {
-        return Arrival::taken(Forecast::OnTime, Some(wait_ms));
+    if job.has_free_target || wait_ms <= slack_ms {
+        return Arrival::accepted(Forecast::OnTime, Some(wait_ms));
     }
     let behind_all_ms = pool.wait_ms(u8::MAX, job.core_ms);
     let worth_ms = worth_ms(job.objective_ms).min(job.deadline_ms);
     if behind_all_ms + job.chain_ms <= worth_ms {
-        return Arrival::taken(Forecast::Late, Some(behind_all_ms));
+        return Arrival::accepted(Forecast::Late, Some(behind_all_ms));
     }
     Arrival {
         forecast: Forecast::Refused,
--- a/crates/dispatcher-core/src/rules/capacity.rs
+++ b/crates/dispatcher-core/src/rules/capacity.rs
@@ -24,7 +24,7 @@
 
 /// What a target has told of its capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldCapacity {
+pub struct ReportedCapacity {
     /// What its entry told last.
     entry: Resources,
     /// What its listing told last, if any did.
@@ -32,10 +32,10 @@
     /// When the entry changed since, if it did.
     entry_changed: Option<Millis>,
     /// The most of each resource that was told.
-    most: Resources,
+    maximum: Resources,
 }
 
-impl ToldCapacity {
+impl ReportedCapacity {
     /// Knows what the target's entry tells.
     #[must_use]
     pub fn new(entry: Resources) -> Self {
@@ -43,26 +43,26 @@
             entry,
             listed: None,
             entry_changed: None,
-            most: entry,
+            maximum: entry,
         }
     }
 
     /// Records what the target's entry tells; returns whether a listing is needed to know
     /// what holds.
-    pub fn entry_told(&mut self, now: Millis, capacity: Resources) -> bool {
+    pub fn record_entry(&mut self, now: Millis, capacity: Resources) -> bool {
         if capacity == self.entry {
             return false;
         }
         self.entry = capacity;
-        self.most = self.most.most(&capacity);
+        self.maximum = self.maximum.most(&capacity);
         self.entry_changed = Some(now);
         self.listed.is_some()
     }
 
     /// Records what a listing tells that was asked for at `asked`, if it tells any.
-    pub fn listing_told(&mut self, asked: Millis, capacity: Option<Resources>) {
+    pub fn record_listing(&mut self, asked: Millis, capacity: Option<Resources>) {
         if let Some(capacity) = capacity {
-            self.most = self.most.most(&capacity);
+            self.maximum = self.maximum.most(&capacity);
         }
         // What came in the same millisecond may have come after.
         let entry_is_older = self.entry_changed.is_none_or(|at| at < asked);
@@ -76,14 +76,14 @@
     }
 
     /// Forgets the listings: those that follow are another life's, or another holder's.
-    pub fn forget_listings(&mut self) {
+    pub fn discard_listings(&mut self) {
         *self = Self::new(self.entry);
     }
 
     /// Returns the most of each resource that it had: it may have it again.
     #[must_use]
-    pub fn most(&self) -> Resources {
-        self.most
+    pub fn maximum(&self) -> Resources {
+        self.maximum
     }
 
     /// Returns the capacity that holds.
--- a/crates/dispatcher-core/src/rules/contention.rs
+++ b/crates/dispatcher-core/src/rules/contention.rs
@@ -4,9 +4,9 @@
 //! A host that learns by a stale token that it lost
 //!
 //! 1. takes the target back at once with a higher token if it had held it for
-//!    `SETTLED_MS` or more: who held it for long has the better right, however
+//!    `MIN_HELD_MS` or more: who held it for long has the better right, however
 //!    often others that don't see this host come;
-//! 2. raises its token at once, up to `TOKENS_TRIED` times, if it was still
+//! 2. raises its token at once, up to `MAX_TOKEN_RAISES` times, if it was still
 //!    acquiring the target: its clock may be behind the last holder's;
 //! 3. else backs off for [`BACKOFF_MS`], doubling with each loss, so that two
 //!    hosts that both believe don't take turns for ever.
@@ -24,20 +24,20 @@
 use crate::Millis;
 
 /// A host that held a target for this long takes it back, in ms. The figure was chosen.
-const SETTLED_MS: Millis = 3_000;
+const MIN_HELD_MS: Millis = 3_000;
 /// How often a higher token is tried at once where one was too low. The
 /// figure was chosen.
-const TOKENS_TRIED: u32 = 4;
+const MAX_TOKEN_RAISES: u32 = 4;
 /// By how much a token that was too low is raised at first, in ms of the clock
 /// that tokens follow; doubles with each try. Chosen, not measured.
-const TOKEN_RAISE_MS: Millis = 250;
+const FIRST_TOKEN_RAISE_MS: Millis = 250;
 /// How long a target is left to the host that took it, in ms. Chosen, not
 /// measured; 1 s with doubling was measured against a flat 5 s, see above.
 pub const BACKOFF_MS: Millis = 2_000;
 /// The longest back-off, in ms. Chosen, not measured.
-const LONGEST_BACKOFF_MS: Millis = 16_000;
+const MAX_BACKOFF_MS: Millis = 16_000;
 /// The most doublings of a back-off. Chosen, not measured.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// Lost claims are forgotten once a target was held for this long, in ms.
 /// Chosen, not measured.
 const BACKOFF_RESET_MS: Millis = 10_000;
@@ -65,7 +65,7 @@
     /// It takes the target back.
     TakeBack {
         /// Whether its earlier lost claims are forgotten.
-        forget_losses: bool,
+        reset_lost_claims: bool,
     },
     /// It tries again with a token raised by this much.
     RaiseToken {
@@ -81,12 +81,14 @@
 pub fn respond(now: Millis, claim: Claim, assigned_elsewhere: bool) -> Response {
     match claim {
         _ if assigned_elsewhere => Response::BackOff,
-        Claim::Held { since } if since + SETTLED_MS <= now => Response::TakeBack {
-            forget_losses: since + BACKOFF_RESET_MS <= now,
-        },
-        Claim::Acquiring { tokens_tried } if tokens_tried < TOKENS_TRIED => Response::RaiseToken {
-            by_ms: TOKEN_RAISE_MS << tokens_tried,
+        Claim::Held { since } if since + MIN_HELD_MS <= now => Response::TakeBack {
+            reset_lost_claims: since + BACKOFF_RESET_MS <= now,
         },
+        Claim::Acquiring { tokens_tried } if tokens_tried < MAX_TOKEN_RAISES => {
+            Response::RaiseToken {
+                by_ms: FIRST_TOKEN_RAISE_MS << tokens_tried,
+            }
+        }
         Claim::Held { .. } | Claim::Acquiring { .. } | Claim::Settling => Response::BackOff,
     }
 }
@@ -94,5 +96,5 @@
 /// Returns how long a target is left alone after so many lost claims, in ms.
 #[must_use]
 pub fn backoff_ms(claims_lost: u32) -> Millis {
-    (BACKOFF_MS << claims_lost.min(MOST_DOUBLINGS)).min(LONGEST_BACKOFF_MS)
+    (BACKOFF_MS << claims_lost.min(MAX_BACKOFF_DOUBLINGS)).min(MAX_BACKOFF_MS)
 }
--- a/crates/dispatcher-core/src/rules/crashes.rs
+++ b/crates/dispatcher-core/src/rules/crashes.rs
@@ -7,7 +7,7 @@
 //!
 //! *Who surely ran.* The end of an attempt just before the crash may never be heard. So one that was
 //! confirmed surely ran only if the target was known to be gone before it can have been done: in
-//! less than `QUICKEST_SHARE` of the time that its progress so far, or its estimate, leaves.
+//! less than `MIN_REMAINING_SHARE` of the time that its progress so far, or its estimate, leaves.
 //!
 //! *Who is suspect.* All tasks that a crashed target had. One that was alone there is blamed
 //! more than one that ran beside others.
@@ -17,40 +17,40 @@
 //! is done is cleared.
 //!
 //! *Giving up.* A task is given up once two targets surely crashed under it while it was alone
-//! on one of them at least, or once `MOST_CRASHES` did, surely or perhaps. Its job fails if two
+//! on one of them at least, or once `MAX_CRASHES` did, surely or perhaps. Its job fails if two
 //! of them are sure; else it ends unfinished, since the task may have been started there too
 //! late, or stopped in time, to have had a part in it.
 //!
 //! **Inputs.** How many targets crashed under a task, alone and beside others; ms since the last
 //! of them. Callers need that such a task neither takes their other tasks' targets with it nor
 //! runs on and on, and that a task that was only beside one is done in its time. One task so
-//! takes `MOST_CRASHES` targets at most, and neighbours with it on the first two at most.
+//! takes `MAX_CRASHES` targets at most, and neighbours with it on the first two at most.
 //! **Gives up.** A task that was alone on a target that crashed by itself, and on another such
 //! target before, fails. A short task whose target is found to be gone only later is in doubt: it
-//! takes `MOST_CRASHES` targets, and its job ends unfinished.
+//! takes `MAX_CRASHES` targets, and its job ends unfinished.
 
 use crate::message::AttemptOutcome;
 use crate::Millis;
 
 /// A task is given up after so many crashes, whoever ran beside it: the users allow none to be
 /// started over and over after three.
-const MOST_CRASHES: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 /// From so many sure crashes on the users let a job be shown as failed.
-const SURE_CRASHES: u32 = 2;
+const CONFIRMED_CRASHES_TO_FAIL: u32 = 2;
 /// How long a task waits for an empty target after one crash, in ms: where many targets crash
 /// by themselves and none is empty, waiting for longer would make short jobs late.
 const QUARANTINE_WAIT_MS: Millis = 50;
 
 /// The least share of the time expected of it in which an attempt may be done: running times spread
 /// around estimates, and a slow target may become quicker.
-const QUICKEST_SHARE: f64 = 0.5;
+const MIN_REMAINING_SHARE: f64 = 0.5;
 
 /// Returns how long an attempt takes from now at the least, in ms. `total_ms` is the time expected of
 /// all of its work, `percent` what is done of it.
 #[must_use]
 pub fn least_remaining_ms(total_ms: f64, percent: u8) -> Millis {
     let left = 1.0 - f64::from(percent.min(100)) / 100.0;
-    (total_ms * left * QUICKEST_SHARE) as Millis
+    (total_ms * left * MIN_REMAINING_SHARE) as Millis
 }
 
 /// How a target was lost while attempts ran there.
@@ -66,27 +66,27 @@
 
 /// Whether an attempt ran on a target when that was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
+pub enum RunState {
     /// The target had said that it has it, nothing was to end it, and it can't have been done.
-    Surely,
+    Confirmed,
     /// Its start had no reply, it was being stopped, or it may have been done.
-    Perhaps,
+    Unconfirmed,
     /// The target had stopped it.
-    No,
+    NotRunning,
 }
 
 /// Returns how an attempt ended on a target that was lost. `leaving` tells whether the target
 /// had said that it leaves, `others` how many other attempts may have run there.
 #[must_use]
-pub fn outcome(loss: TargetLoss, leaving: bool, ran: Ran, others: usize) -> AttemptOutcome {
+pub fn outcome(loss: TargetLoss, leaving: bool, ran: RunState, others: usize) -> AttemptOutcome {
     if loss == TargetLoss::Silent || leaving {
         return AttemptOutcome::Lost;
     }
     match ran {
-        Ran::No => AttemptOutcome::Lost,
-        Ran::Perhaps => AttemptOutcome::PerhapsCrashed,
-        Ran::Surely if others == 0 => AttemptOutcome::CrashedAlone,
-        Ran::Surely => AttemptOutcome::CrashedBesideOthers,
+        RunState::NotRunning => AttemptOutcome::Lost,
+        RunState::Unconfirmed => AttemptOutcome::PerhapsCrashed,
+        RunState::Confirmed if others == 0 => AttemptOutcome::CrashedAlone,
+        RunState::Confirmed => AttemptOutcome::CrashedBesideOthers,
     }
 }
 
@@ -103,7 +103,7 @@
 
 /// What becomes of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CrashDecision {
     /// It may run beside others.
     Trusted,
     /// It runs alone.
@@ -111,7 +111,7 @@
     /// It is given up, and its job fails.
     GivenUp,
     /// It is given up, and its job ends unfinished.
-    GivenUpInDoubt,
+    GivenUpUnconfirmed,
 }
 
 impl Crashes {
@@ -132,7 +132,7 @@
 
     /// Returns what is known by either of two that counted for themselves.
     #[must_use]
-    pub fn most(&self, other: &Self) -> Self {
+    pub fn elementwise_max(&self, other: &Self) -> Self {
         Self {
             alone: self.alone.max(other.alone),
             beside_others: self.beside_others.max(other.beside_others),
@@ -142,18 +142,18 @@
 
     /// Returns what becomes of the task, `since_ms` after the last crash.
     #[must_use]
-    pub fn verdict(&self, since_ms: Millis) -> Verdict {
+    pub fn decision(&self, since_ms: Millis) -> CrashDecision {
         let sure = self.alone + self.beside_others;
         let all = sure + self.perhaps;
-        let proven = self.alone > 0 && sure >= SURE_CRASHES;
-        if proven || (all >= MOST_CRASHES && sure >= SURE_CRASHES) {
-            Verdict::GivenUp
-        } else if all >= MOST_CRASHES {
-            Verdict::GivenUpInDoubt
+        let proven = self.alone > 0 && sure >= CONFIRMED_CRASHES_TO_FAIL;
+        if proven || (all >= MAX_CRASHES && sure >= CONFIRMED_CRASHES_TO_FAIL) {
+            CrashDecision::GivenUp
+        } else if all >= MAX_CRASHES {
+            CrashDecision::GivenUpUnconfirmed
         } else if all == 0 || (all == 1 && since_ms >= QUARANTINE_WAIT_MS) {
-            Verdict::Trusted
+            CrashDecision::Trusted
         } else {
-            Verdict::Quarantined
+            CrashDecision::Quarantined
         }
     }
 }
--- a/crates/dispatcher-core/src/rules/draining.rs
+++ b/crates/dispatcher-core/src/rules/draining.rs
@@ -22,12 +22,12 @@
 use crate::event::HallChange;
 
 /// The draining halls, shared with whoever decides by them.
-pub type Halls = Arc<BTreeSet<Name>>;
+pub type HallSet = Arc<BTreeSet<Name>>;
 
 /// The draining halls as far as a host knows them.
 #[derive(Clone, Debug, Default)]
 pub struct DrainingHalls {
-    halls: Halls,
+    halls: HallSet,
     /// The store's version up to which they are known, if they are.
     version: Option<u64>,
 }
@@ -35,7 +35,7 @@
 impl DrainingHalls {
     /// Returns the draining halls.
     #[must_use]
-    pub fn halls(&self) -> &Halls {
+    pub fn halls(&self) -> &HallSet {
         &self.halls
     }
 
--- a/crates/dispatcher-core/src/rules/failure_source.rs
+++ b/crates/dispatcher-core/src/rules/failure_source.rs
@@ -1,8 +1,8 @@
 //! Whether a failed attempt speaks against its target, or against its kind of task.
 //!
 //! **Rule.** For each kind of task ([`super::running_time`]) it is kept how its last attempt ended
-//! on each of the last `TARGETS` targets. A failure doesn't count against its target while, of at
-//! least `LEAST_OTHERS` other targets that showed it within `FRESH_MS`, most had the kind fail
+//! on each of the last `MAX_TARGETS` targets. A failure doesn't count against its target while, of at
+//! least `MIN_OTHER_TARGETS` other targets that showed it within `OUTCOME_VALIDITY_MS`, most had the kind fail
 //! too.
 //!
 //! **Inputs.** Ends as targets list them, ms. **Reason.** A queue whose tasks fail anywhere
@@ -17,15 +17,15 @@
 use crate::Millis;
 
 /// Of how many targets the last end is kept.
-const TARGETS: usize = 8;
+const MAX_TARGETS: usize = 8;
 /// How many other targets it takes to tell: with two, two faulty ones would do.
-const LEAST_OTHERS: usize = 3;
+const MIN_OTHER_TARGETS: usize = 3;
 /// An end says something for so long, in ms: as long as targets' troubles last.
-const FRESH_MS: Millis = 5_000;
+const OUTCOME_VALIDITY_MS: Millis = 5_000;
 
 /// How an attempt of a kind ended on a target.
 #[derive(Clone, Debug)]
-struct LastEnd {
+struct LastOutcome {
     target: Name,
     at: Millis,
     failed: bool,
@@ -33,12 +33,12 @@
 
 /// How the last attempts of a kind ended on several targets.
 #[derive(Clone, Debug, Default)]
-pub struct RecentEnds(Vec<LastEnd>);
+pub struct RecentOutcomes(Vec<LastOutcome>);
 
-impl RecentEnds {
+impl RecentOutcomes {
     /// Records how an attempt ended on a target.
     pub fn record(&mut self, now: Millis, target: &Name, failed: bool) {
-        let end = LastEnd {
+        let end = LastOutcome {
             target: target.clone(),
             at: now,
             failed,
@@ -47,7 +47,7 @@
             *known = end;
             return;
         }
-        if self.0.len() == TARGETS {
+        if self.0.len() == MAX_TARGETS {
             let oldest = self.0.iter().enumerate().min_by_key(|(_, end)| end.at);
             let oldest = oldest.map_or(0, |(place, _)| place);
             self.0.swap_remove(oldest);
@@ -57,14 +57,15 @@
 
     /// Returns whether a failure on a target speaks against it.
     #[must_use]
-    pub fn blames(&self, now: Millis, target: &Name) -> bool {
+    pub fn counts_against(&self, now: Millis, target: &Name) -> bool {
         let others = self.0.iter();
-        let others = others.filter(|end| end.target != *target && end.at + FRESH_MS > now);
+        let others =
+            others.filter(|end| end.target != *target && end.at + OUTCOME_VALIDITY_MS > now);
         let (mut all, mut failed) = (0, 0);
         for other in others {
             all += 1;
             failed += usize::from(other.failed);
         }
-        all < LEAST_OTHERS || failed * 2 <= all
+        all < MIN_OTHER_TARGETS || failed * 2 <= all
     }
 }
--- a/crates/dispatcher-core/src/rules/giving_up.rs
+++ b/crates/dispatcher-core/src/rules/giving_up.rs
@@ -5,7 +5,7 @@
 //! - as soon as it is *passed over*: it will be late, and jobs wait here that can
 //!   still be on time and go before it. By the time it could start its answer would
 //!   be worth little, and it would take the resources of a job on time;
-//! - once it has waited for `WAIT_SHARE` of the time in which its answer is worth
+//! - once it has waited for `MAX_WAIT_SHARE` of the time in which its answer is worth
 //!   something;
 //! - at once when a task of it became worthless.
 //!
@@ -23,7 +23,7 @@
 //! [`super::draining`].
 //!
 //! A job that may have begun ends at its deadline, or as soon as nothing of it runs and
-//! a task can't end in time even if it takes only `ESTIMATE_FLOOR` of its estimate; what
+//! a task can't end in time even if it takes only `MIN_ESTIMATE_SHARE` of its estimate; what
 //! runs is let run, since stopping it gains nothing.
 //!
 //! A job of which a task crashes its targets ends as failed; see [`super::crashes`].
@@ -42,12 +42,12 @@
 use crate::Millis;
 
 /// A job of which nothing has begun in this part of its time is refused.
-const WAIT_SHARE: f64 = 0.45;
+const MAX_WAIT_SHARE: f64 = 0.45;
 /// A host holds its first targets within this time of its start, in ms, also where all hosts
 /// start at once after a loss of power.
-const STARTING_MS: Millis = 1_500;
+const HOST_STARTUP_MS: Millis = 1_500;
 /// A task may take as little as this part of its estimate.
-const ESTIMATE_FLOOR: f64 = 0.5;
+const MIN_ESTIMATE_SHARE: f64 = 0.5;
 /// The least and the longest time after which a refused caller may come back, in ms.
 const RETRY_AFTER_MS: (Millis, Millis) = (500, 3_000);
 
@@ -61,42 +61,42 @@
     /// Its latency objective, from its acceptance.
     pub objective_ms: Millis,
     /// Whether a task of it may have begun.
-    pub may_have_begun: bool,
+    pub may_have_started: bool,
     /// Whether an attempt of it runs, or a peer was asked to start one.
-    pub runs: bool,
+    pub is_running: bool,
     /// Whether it is passed over; see [`is_passed_over`].
     pub passed_over: bool,
     /// Whether a target that could run a task of it is known to have room.
-    pub has_room: bool,
-    /// Whether this host has just started and holds no target yet; see [`is_starting`].
-    pub starting: bool,
+    pub has_free_target: bool,
+    /// Whether this host has just started and holds no target yet; see [`is_host_starting`].
+    pub host_is_starting: bool,
 }
 
 /// Returns why a job is to be given up now, if it is.
 ///
 /// `open_estimates` are the estimates in ms of the tasks that aren't done.
 #[must_use]
-pub fn due(
+pub fn end_cause(
     now: Millis,
     job: &OpenJob,
     mut open_estimates: impl Iterator<Item = Millis>,
 ) -> Option<EndCause> {
     let worth_until = job.accepted + worth_ms(job.objective_ms);
-    if !job.may_have_begun {
+    if !job.may_have_started {
         let too_late = |estimate_ms: Millis| {
             let worthless = now + estimate_ms > worth_until;
-            let waits_on = job.starting || job.has_room;
+            let waits_on = job.host_is_starting || job.has_free_target;
             worthless || (waits_on && earliest_end(now, estimate_ms) >= job.deadline)
         };
         let worthless = open_estimates.any(too_late);
-        let waited_enough = now >= latest_begin(job, worth_until);
-        if worthless && job.has_room {
+        let waited_enough = now >= latest_start(job, worth_until);
+        if worthless && job.has_free_target {
             return Some(EndCause::Deadline);
         }
-        if worthless || (waited_enough && !job.starting && !job.has_room) {
+        if worthless || (waited_enough && !job.host_is_starting && !job.has_free_target) {
             return Some(EndCause::NoResources);
         }
-        let passed_over = job.passed_over && !job.starting && !job.has_room;
+        let passed_over = job.passed_over && !job.host_is_starting && !job.has_free_target;
         return passed_over.then_some(EndCause::PassedOver);
     }
     if now >= job.deadline {
@@ -106,7 +106,7 @@
         let end = earliest_end(now, estimate_ms);
         end >= job.deadline || end >= worth_until
     });
-    (cannot_end && !job.runs).then_some(EndCause::Deadline)
+    (cannot_end && !job.is_running).then_some(EndCause::Deadline)
 }
 
 /// Returns whether a job that will be late is passed over, given the most urgent of the jobs
@@ -121,26 +121,26 @@
 
 /// Returns whether the end of a job says that there was no room for it.
 #[must_use]
-pub fn says_no_room(cause: EndCause) -> bool {
+pub fn is_lack_of_resources(cause: EndCause) -> bool {
     matches!(cause, EndCause::NoResources | EndCause::PassedOver)
 }
 
 /// Returns whether a host has just started: `age_ms` since then, and `holds_targets` tells
 /// whether it has held any.
 #[must_use]
-pub fn is_starting(age_ms: Millis, holds_targets: bool) -> bool {
-    age_ms < STARTING_MS && !holds_targets
+pub fn is_host_starting(age_ms: Millis, holds_targets: bool) -> bool {
+    age_ms < HOST_STARTUP_MS && !holds_targets
 }
 
 /// Returns when a task may have ended at the earliest that is started now.
 fn earliest_end(now: Millis, estimate_ms: Millis) -> Millis {
-    now + (estimate_ms as f64 * ESTIMATE_FLOOR) as Millis
+    now + (estimate_ms as f64 * MIN_ESTIMATE_SHARE) as Millis
 }
 
 /// Returns until when a job may wait without having begun.
-fn latest_begin(job: &OpenJob, worth_until: Millis) -> Millis {
+fn latest_start(job: &OpenJob, worth_until: Millis) -> Millis {
     let time = job.deadline.min(worth_until) - job.accepted;
-    job.accepted + (time as f64 * WAIT_SHARE) as Millis
+    job.accepted + (time as f64 * MAX_WAIT_SHARE) as Millis
 }
 
 /// Returns what the caller of a job that ended is told.
--- a/crates/dispatcher-core/src/rules/heartbeat_intervals.rs
+++ b/crates/dispatcher-core/src/rules/heartbeat_intervals.rs
@@ -21,21 +21,21 @@
 
 /// Heartbeats that a host sends to idle peers in the time of one heartbeat to a
 /// peer with attempts, as long as the interval doesn't grow beyond
-/// [`LONGEST_IDLE_HEARTBEATS`] or [`LONGEST_FAR_HEARTBEATS`]. Chosen, not measured by itself.
+/// [`MAX_IDLE_FACTOR`] or [`MAX_FAR_FACTOR`]. Chosen, not measured by itself.
 const IDLE_PEERS_PER_HEARTBEAT: usize = 8;
 /// The longest idle interval within a hall, as a multiple of the shortest: longer ones would
 /// let dead hosts go unnoticed for too long. Chosen, not measured by itself.
-const LONGEST_IDLE_HEARTBEATS: f64 = 6.0;
+const MAX_IDLE_FACTOR: f64 = 6.0;
 /// Heartbeats to idle peers of other halls in the time of one heartbeat to a peer with
 /// attempts: they hold no targets of this hall, and before a task goes to one its clock is
 /// asked for. Chosen, not measured by itself.
 const FAR_PEERS_PER_HEARTBEAT: usize = 3;
 /// The longest interval towards other halls, as a multiple of the shortest, 7 s with the
 /// users' bounds. Chosen, not measured by itself.
-const LONGEST_FAR_HEARTBEATS: f64 = 50.0;
+const MAX_FAR_FACTOR: f64 = 50.0;
 /// With fewer peers all of them are heard as often as those of the own hall: from here on
 /// these intervals no longer grow, so that the number of heartbeats would.
-const LEAST_PEERS_FOR_FAR: usize = IDLE_PEERS_PER_HEARTBEAT * LONGEST_IDLE_HEARTBEATS as usize;
+const MIN_PEERS_FOR_FAR: usize = IDLE_PEERS_PER_HEARTBEAT * MAX_IDLE_FACTOR as usize;
 /// An idle peer is alive as long as it was heard within this many intervals:
 /// one heartbeat may be lost. Chosen, not measured.
 const ALIVE_INTERVALS: f64 = 2.5;
@@ -50,12 +50,12 @@
 /// 0.77 s after its start, when the whole deployment came back from a loss of power; spread,
 /// 0.58 s after (one of 27 and mean of 13 such hosts, one played day each). The figure was
 /// chosen.
-const FIRST_FAR_MS: Millis = 2_000;
+const FIRST_FAR_SPREAD_MS: Millis = 2_000;
 
 /// Returns how long the first heartbeat to a peer of another hall waits, in ms.
 #[must_use]
-pub fn first_far_heartbeat(own: &str, peer: &str) -> Millis {
-    xxh3_64(format!("{own}\n{peer}").as_bytes()) % FIRST_FAR_MS
+pub fn first_far_heartbeat_delay_ms(own: &str, peer: &str) -> Millis {
+    xxh3_64(format!("{own}\n{peer}").as_bytes()) % FIRST_FAR_SPREAD_MS
 }
 
 /// Times between hosts for a number of peers, in ms.
@@ -77,25 +77,15 @@
     /// Reckons the intervals towards peers of the own hall for a number of peers in all.
     #[must_use]
     pub fn near(times: &Times, peers: usize) -> Self {
-        Self::new(
-            times,
-            peers,
-            IDLE_PEERS_PER_HEARTBEAT,
-            LONGEST_IDLE_HEARTBEATS,
-        )
+        Self::new(times, peers, IDLE_PEERS_PER_HEARTBEAT, MAX_IDLE_FACTOR)
     }
 
     /// Reckons the intervals towards peers of other halls for a number of peers in all.
     #[must_use]
     pub fn far(times: &Times, peers: usize) -> Self {
         let near = Self::near(times, peers);
-        let far = Self::new(
-            times,
-            peers,
-            FAR_PEERS_PER_HEARTBEAT,
-            LONGEST_FAR_HEARTBEATS,
-        );
-        if peers < LEAST_PEERS_FOR_FAR {
+        let far = Self::new(times, peers, FAR_PEERS_PER_HEARTBEAT, MAX_FAR_FACTOR);
+        if peers < MIN_PEERS_FOR_FAR {
             near
         } else {
             far
--- a/crates/dispatcher-core/src/rules/holder_choice.rs
+++ b/crates/dispatcher-core/src/rules/holder_choice.rs
@@ -23,23 +23,23 @@
 use crate::Millis;
 
 /// Older news count less, in ms: a holder that tasks are handed to is heard far more often.
-const FRESH_NEWS_MS: Millis = 500;
+const FRESH_UPDATE_MS: Millis = 500;
 /// A request of its own costs both hosts processor time: one that is sent anyway is
 /// preferred for an end later by this, in ms.
-const EXTRA_REQUEST_MS: f64 = 2.0;
+const EXTRA_REQUEST_PENALTY_MS: f64 = 2.0;
 /// By how much sooner a task has to end in another hall, in ms: halls of equal load would
 /// swap work at each small difference, and pay the way for it.
-const OTHER_HALL_MS: f64 = 16.0;
+const OTHER_HALL_PENALTY_MS: f64 = 16.0;
 /// By which part of its wait another hall's holder counts as later: the longer waits are,
 /// the more they vary between halls of equal load.
-const OTHER_HALL_WAIT_SHARE: f64 = 0.25;
+const OTHER_HALL_WAIT_PENALTY: f64 = 0.25;
 /// Ends are as good as equal if they differ by less than this part of the news' age:
 /// meanwhile others have handed tasks over.
-const CHANGED_SHARE: f64 = 0.25;
+const EQUAL_END_SHARE: f64 = 0.25;
 
 /// What some of a holder's targets offer a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Availability {
     /// None of them may take it, even later.
     None,
     /// One has room now.
@@ -56,7 +56,7 @@
     },
 }
 
-impl Place {
+impl Availability {
     /// Returns how long a task waits there, in ms, and the thousandths of a core that may
     /// be handed over; none if it can't go there.
     fn offered(self) -> Option<(Millis, u32)> {
@@ -77,17 +77,17 @@
     /// Whether it is in another hall.
     pub other_hall: bool,
     /// How long a message takes to it, in ms; 0 to the host itself.
-    pub way_ms: Millis,
+    pub transit_ms: Millis,
     /// Whether no request goes to it anyway.
     pub extra_request: bool,
     /// Whether its clock has to be asked for first.
     pub stale_clock: bool,
     /// Its targets in the rack of the task's data; all of them if the task has none.
-    pub near: Place,
+    pub near: Availability,
     /// Its other targets.
-    pub far: Place,
+    pub far: Availability,
     /// Age of the news, in ms.
-    pub news_age_ms: Millis,
+    pub update_age_ms: Millis,
 }
 
 /// A task that looks for a holder.
@@ -112,9 +112,9 @@
 
 /// When a task is expected to begin at a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum ExpectedStart {
     /// As soon as it arrives.
-    AtOnce,
+    Immediate,
     /// After waiting.
     AfterWait,
 }
@@ -127,7 +127,7 @@
     /// Where the task is expected to run.
     pub distance: Distance,
     /// When it is expected to begin.
-    pub begin: Begin,
+    pub start: ExpectedStart,
 }
 
 /// A way to run a task.
@@ -135,7 +135,7 @@
 struct Offer {
     choice: Choice,
     other_hall: bool,
-    news_age_ms: Millis,
+    update_age_ms: Millis,
     spare_cpu: u32,
     /// The wait by what was last heard, in ms.
     wait_ms: f64,
@@ -150,19 +150,19 @@
             Distance::Far => view.far,
         };
         let (wait_ms, spare_cpu) = place.offered()?;
-        let begin = if matches!(place, Place::Free { .. }) {
-            Begin::AtOnce
+        let begin = if matches!(place, Availability::Free { .. }) {
+            ExpectedStart::Immediate
         } else {
-            Begin::AfterWait
+            ExpectedStart::AfterWait
         };
         Some(Self {
             choice: Choice {
                 holder,
                 distance,
-                begin,
+                start: begin,
             },
             other_hall: view.other_hall,
-            news_age_ms: view.news_age_ms,
+            update_age_ms: view.update_age_ms,
             spare_cpu,
             wait_ms: wait_ms as f64,
             end_ms: 0.0,
@@ -170,12 +170,12 @@
     }
 
     fn is_fresh(&self) -> bool {
-        self.news_age_ms <= FRESH_NEWS_MS
+        self.update_age_ms <= FRESH_UPDATE_MS
     }
 
     /// Returns whether another offer is as good, as far as its news tell.
     fn is_equalled_by(&self, other: &Self) -> bool {
-        let changed_ms = CHANGED_SHARE * self.news_age_ms as f64;
+        let changed_ms = EQUAL_END_SHARE * self.update_age_ms as f64;
         other.choice.distance == self.choice.distance
             && other.other_hall == self.other_hall
             && other.end_ms <= self.end_ms + changed_ms
@@ -195,24 +195,29 @@
             offers.extend(offer.filter(in_time));
         }
     }
-    let usual = [Distance::Near, Distance::Far].map(|distance| usual_wait_ms(&offers, distance));
+    let usual =
+        [Distance::Near, Distance::Far].map(|distance| mean_fresh_wait_ms(&offers, distance));
     for offer in &mut offers {
         let usual_ms = usual[offer.choice.distance as usize];
         offer.end_ms = end_ms(task, &holders[offer.choice.holder], offer, usual_ms);
     }
     let best = *offers.iter().min_by(|a, b| a.end_ms.total_cmp(&b.end_ms))?;
     offers.retain(|offer| best.is_equalled_by(offer));
-    Some(picked(task.name, &offers).unwrap_or(&best).choice)
+    Some(pick_by_name(task.name, &offers).unwrap_or(&best).choice)
 }
 
 /// Returns after how long a task that is handed over now can begin at a holder, in ms.
 fn arrival_ms(view: &HolderView) -> f64 {
-    let clock_ms = if view.stale_clock { 2 * view.way_ms } else { 0 };
-    (clock_ms + view.way_ms) as f64
+    let clock_ms = if view.stale_clock {
+        2 * view.transit_ms
+    } else {
+        0
+    };
+    (clock_ms + view.transit_ms) as f64
 }
 
 /// Returns the mean wait by fresh news in ms, if there are any.
-fn usual_wait_ms(offers: &[Offer], distance: Distance) -> Option<f64> {
+fn mean_fresh_wait_ms(offers: &[Offer], distance: Distance) -> Option<f64> {
     let fresh = offers.iter().filter(|offer| offer.is_fresh());
     let waits = fresh.filter(|offer| offer.choice.distance == distance);
     let (sum, count) = waits.fold((0.0, 0.0), |(sum, count), offer| {
@@ -225,7 +230,7 @@
 fn end_ms(task: &TaskView, view: &HolderView, offer: &Offer, usual_ms: Option<f64>) -> f64 {
     let wait_ms = match usual_ms {
         Some(usual_ms) if !offer.is_fresh() => {
-            let part = FRESH_NEWS_MS as f64 / view.news_age_ms as f64;
+            let part = FRESH_UPDATE_MS as f64 / view.update_age_ms as f64;
             part * offer.wait_ms + (1.0 - part) * usual_ms
         }
         _ => offer.wait_ms,
@@ -234,20 +239,20 @@
         Distance::Near => 1.0,
         Distance::Far => task.far_slowdown,
     };
-    let mut end_ms = arrival_ms(view) + wait_ms + view.way_ms as f64;
+    let mut end_ms = arrival_ms(view) + wait_ms + view.transit_ms as f64;
     end_ms += slowdown * task.running_ms as f64;
     if view.extra_request {
-        end_ms += EXTRA_REQUEST_MS;
+        end_ms += EXTRA_REQUEST_PENALTY_MS;
     }
     if view.other_hall {
-        end_ms += OTHER_HALL_MS + OTHER_HALL_WAIT_SHARE * wait_ms;
+        end_ms += OTHER_HALL_PENALTY_MS + OTHER_HALL_WAIT_PENALTY * wait_ms;
     }
     end_ms
 }
 
 /// Picks an offer by a task's name, each in proportion to what may be handed over; none of
 /// none.
-fn picked<'a>(name: &str, offers: &'a [Offer]) -> Option<&'a Offer> {
+fn pick_by_name<'a>(name: &str, offers: &'a [Offer]) -> Option<&'a Offer> {
     let share = |offer: &Offer| u64::from(offer.spare_cpu.max(1));
     let all: u64 = offers.iter().map(share).sum();
     let part = u128::from(xxh3_64(name.as_bytes()));
--- a/crates/dispatcher-core/src/rules/leases.rs
+++ b/crates/dispatcher-core/src/rules/leases.rs
@@ -44,10 +44,10 @@
 const RENEWALS_PER_TARGET_LEASE: Millis = 3;
 /// The longest that a renewal waits at the target for an end, in ms: longer
 /// waits would spare few calls. Chosen, not measured.
-const LONGEST_LONG_POLL_MS: Millis = 150;
+const MAX_LONG_POLL_MS: Millis = 150;
 /// The shortest owner lease that heartbeats over HTTP can renew, in ms. Chosen,
 /// not measured.
-pub(crate) const LEAST_OWNER_LEASE_MS: Millis = 100;
+pub(crate) const MIN_OWNER_LEASE_MS: Millis = 100;
 
 /// Times that follow from the bounds, in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,7 +87,7 @@
             ((spare as f64 * TARGET_LEASE_SHARE) as Millis).min(self.max_target_lease_ms);
         let target_lease_true = longest_on_true_clock(target_lease);
         let owner_lease = spare.saturating_sub(target_lease_true);
-        if owner_lease < LEAST_OWNER_LEASE_MS {
+        if owner_lease < MIN_OWNER_LEASE_MS {
             return Err(BoundsError::TooTight {
                 retransmit_ms: self.retransmit_ms,
                 left_ms: owner_lease,
@@ -98,7 +98,7 @@
             target_lease,
             target_lease_true,
             owner_lease,
-            long_poll: (target_lease / RENEWALS_PER_TARGET_LEASE).min(LONGEST_LONG_POLL_MS),
+            long_poll: (target_lease / RENEWALS_PER_TARGET_LEASE).min(MAX_LONG_POLL_MS),
             heartbeat: owner_lease / HEARTBEATS_PER_OWNER_LEASE,
             lost_attempts_over: owner_lease + target_attempts_over,
             target_attempts_over,
--- a/crates/dispatcher-core/src/rules/liveness.rs
+++ b/crates/dispatcher-core/src/rules/liveness.rs
@@ -23,23 +23,23 @@
 
 /// How long targets are left to hosts that a host in the minority no longer
 /// hears, in ms. The figure itself was chosen.
-const LEFT_IN_MINORITY_MS: Millis = 8_000;
+const MINORITY_RETENTION_MS: Millis = 8_000;
 /// A task may be handed over while the peer's clock was heard within this part
 /// of an owner lease: it is then still valid when the next heartbeats arrive.
 /// Chosen, not measured.
-const FRESH_CLOCK_SHARE: Millis = 2;
+const FRESH_CLOCK_DIVISOR: Millis = 2;
 
 /// A host that was heard of and hasn't answered may be there for this long, in ms: links that
 /// are full delay the first answers by some 500 ms. Chosen, not measured by itself.
-const UNHEARD_MS: Millis = 1_000;
+const FIRST_REPLY_MS: Millis = 1_000;
 
 /// What was heard of a peer; times are ms of this host's clock.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Heard {
+pub struct PeerContact {
     /// When it last acknowledged something.
     pub acknowledged: Option<Millis>,
     /// When anything came from it, or of it.
-    pub last: Millis,
+    pub last_contact: Millis,
     /// When its clock was last heard, if it was.
     pub clock: Option<Millis>,
     /// Since when it has replied to nothing that it was asked, if it was asked.
@@ -50,7 +50,7 @@
     pub in_use_since: Option<Millis>,
 }
 
-impl Heard {
+impl PeerContact {
     /// Returns whether the peer is taken to live.
     #[must_use]
     pub fn is_alive(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
@@ -72,21 +72,21 @@
     /// it now.
     #[must_use]
     pub fn has_fresh_clock(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
-        let fresh = intervals.owner_lease / FRESH_CLOCK_SHARE;
+        let fresh = intervals.owner_lease / FRESH_CLOCK_DIVISOR;
         self.clock.is_some_and(|heard| heard + fresh > now)
     }
 
     /// Returns whether its targets are left to it, though it may get no tasks.
     #[must_use]
-    pub fn keeps_targets(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
-        let heard = self.acknowledged.is_some() && self.last + intervals.dead > now;
+    pub fn retains_targets(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
+        let heard = self.acknowledged.is_some() && self.last_contact + intervals.dead > now;
         heard && !self.refused
     }
 
     /// Returns whether it was heard lately and isn't known to be gone.
     #[must_use]
-    pub fn was_there(&self, now: Millis) -> bool {
-        let heard = self.acknowledged.is_some() && self.last + LEFT_IN_MINORITY_MS > now;
+    pub fn was_recently_alive(&self, now: Millis) -> bool {
+        let heard = self.acknowledged.is_some() && self.last_contact + MINORITY_RETENTION_MS > now;
         heard && !self.refused
     }
 }
@@ -97,15 +97,15 @@
 /// links of 2 Mbit/s on which hosts were stopped in turn, starting hosts took 126 targets of
 /// 126, and 687 attempts were lost by it.
 #[must_use]
-pub fn may_be_there(now: Millis, learnt: Millis, heard: &Heard) -> bool {
-    heard.acknowledged.is_none() && !heard.refused && learnt + UNHEARD_MS > now
+pub fn may_be_alive(now: Millis, learnt: Millis, heard: &PeerContact) -> bool {
+    heard.acknowledged.is_none() && !heard.refused && learnt + FIRST_REPLY_MS > now
 }
 
 /// Returns whether a host that started at `started` knows enough of others to share the
 /// targets with them: it has heard one, or none answered in time.
 #[must_use]
-pub fn knows_others(now: Millis, started: Millis, hears_nobody: bool) -> bool {
-    !hears_nobody || started + UNHEARD_MS <= now
+pub fn knows_peers(now: Millis, started: Millis, hears_nobody: bool) -> bool {
+    !hears_nobody || started + FIRST_REPLY_MS <= now
 }
 
 /// Returns whether a host hears less than half of the hosts that were there of
@@ -115,12 +115,12 @@
 pub fn is_in_minority<'a>(
     now: Millis,
     intervals: &HeartbeatIntervals,
-    peers: impl Iterator<Item = &'a Heard>,
+    peers: impl Iterator<Item = &'a PeerContact>,
 ) -> bool {
     let (mut heard, mut all) = (1, 1);
-    for peer in peers.filter(|peer| peer.was_there(now)) {
+    for peer in peers.filter(|peer| peer.was_recently_alive(now)) {
         all += 1;
-        heard += usize::from(peer.keeps_targets(now, intervals));
+        heard += usize::from(peer.retains_targets(now, intervals));
     }
     2 * heard < all
 }
--- a/crates/dispatcher-core/src/rules/long_tasks.rs
+++ b/crates/dispatcher-core/src/rules/long_tasks.rs
@@ -5,7 +5,7 @@
 //! work is then kept free of it: as much as that work took on average lately, and
 //! `SAFETY_DEVIATIONS` standard deviations of independent arrivals. What is kept is nested: for
 //! each urgency, the less urgent tasks that are long for it may hold the room less what is kept
-//! for it and all that is more urgent. Never more than `MOST_KEPT` of the room is kept, and one
+//! for it and all that is more urgent. Never more than `MAX_RESERVED_SHARE` of the room is kept, and one
 //! long task may always run. What arrived is forgotten by half in `HALF_LIFE_MS`, so that the
 //! room is given back when nobody needs it.
 //!
@@ -24,9 +24,9 @@
 /// lose more than the short ones gain.
 const SAFETY_DEVIATIONS: f64 = 0.5;
 /// The most of the room that is kept free of long tasks: they may always hold the rest.
-const MOST_KEPT: f64 = 0.5;
+const MAX_RESERVED_SHARE: f64 = 0.5;
 /// Fewer tasks at a time than this don't count.
-const LEAST_TASKS: f64 = 0.1;
+const MIN_AVERAGE_TASKS: f64 = 0.1;
 /// What arrived counts half after this time, in ms: it spans the gaps between jobs of a queue,
 /// and is soon over when they end.
 const HALF_LIFE_MS: f64 = 1_500.0;
@@ -44,7 +44,7 @@
 
 /// What arrived lately of one urgency; sums that decay.
 #[derive(Clone, Copy, Debug, Default)]
-struct Arrived {
+struct RecentArrivals {
     /// Thousandths of a core times ms.
     work: f64,
     /// The same, times the thousandths of a core of each task.
@@ -53,7 +53,7 @@
     work_by_slack: f64,
 }
 
-impl Arrived {
+impl RecentArrivals {
     fn decay(&mut self, kept: f64) {
         self.work *= kept;
         self.work_by_cpu *= kept;
@@ -66,8 +66,8 @@
     }
 
     /// Returns whether a task is long for this urgency's work, of which there is some.
-    fn finds_long(&self, estimate_ms: Millis) -> bool {
-        let some = self.average() > LEAST_TASKS * self.task_cpu();
+    fn is_long(&self, estimate_ms: Millis) -> bool {
+        let some = self.average_cpu() > MIN_AVERAGE_TASKS * self.task_cpu();
         some && estimate_ms as f64 > self.slack_ms()
     }
 
@@ -77,27 +77,27 @@
     }
 
     /// Returns the thousandths of a core that its work takes on average.
-    fn average(&self) -> f64 {
+    fn average_cpu(&self) -> f64 {
         self.work * std::f64::consts::LN_2 / HALF_LIFE_MS
     }
 
-    /// Returns the variance of the thousandths of a core that its work takes at a time, if
+    /// Returns the cpu_variance of the thousandths of a core that its work takes at a time, if
     /// tasks arrive independently.
-    fn variance(&self) -> f64 {
-        self.average() * self.task_cpu()
+    fn cpu_variance(&self) -> f64 {
+        self.average_cpu() * self.task_cpu()
     }
 }
 
 /// What arrived lately at one host, for all pools together.
 #[derive(Clone, Debug, Default)]
-pub struct LongTasks {
-    arrived: BTreeMap<u8, Arrived>,
+pub struct LongTaskLimit {
+    arrived: BTreeMap<u8, RecentArrivals>,
     decayed: Millis,
 }
 
-impl LongTasks {
+impl LongTaskLimit {
     /// Records that a task arrived whose job can wait for `slack_ms` and be on time.
-    pub fn arrived(&mut self, now: Millis, task: &TaskSize, slack_ms: Millis) {
+    pub fn record_arrival(&mut self, now: Millis, task: &TaskSize, slack_ms: Millis) {
         self.decay(now);
         let cpu = f64::from(task.cpu);
         let work = cpu * task.estimate_ms as f64;
@@ -117,18 +117,17 @@
         running: impl Iterator<Item = TaskSize> + Clone,
     ) -> bool {
         self.decay(now);
-        let most_kept = MOST_KEPT * f64::from(capacity_cpu);
-        let (mut average, mut variance) = (0.0, 0.0);
+        let most_kept = MAX_RESERVED_SHARE * f64::from(capacity_cpu);
+        let (mut average, mut cpu_variance) = (0.0, 0.0);
         for (urgency, arrived) in self.arrived.range(..task.urgency) {
-            if !arrived.finds_long(task.estimate_ms) {
+            if !arrived.is_long(task.estimate_ms) {
                 continue;
             }
-            average += arrived.average();
-            variance += arrived.variance();
-            let kept = (average + SAFETY_DEVIATIONS * variance.sqrt()).min(most_kept);
-            let is_long = |other: &TaskSize| {
-                other.urgency > *urgency && arrived.finds_long(other.estimate_ms)
-            };
+            average += arrived.average_cpu();
+            cpu_variance += arrived.cpu_variance();
+            let kept = (average + SAFETY_DEVIATIONS * cpu_variance.sqrt()).min(most_kept);
+            let is_long =
+                |other: &TaskSize| other.urgency > *urgency && arrived.is_long(other.estimate_ms);
             let held: u32 = running.clone().filter(is_long).map(|other| other.cpu).sum();
             if held > 0 && f64::from(held + task.cpu) > f64::from(capacity_cpu) - kept {
                 return false;
--- a/crates/dispatcher-core/src/rules/membership.rs
+++ b/crates/dispatcher-core/src/rules/membership.rs
@@ -1,7 +1,7 @@
 //! What hosts that know different hosts tell each other.
 //!
 //! **Rule.** Heartbeats carry a hash of the known hosts. Where the hashes differ, the reply
-//! tells the hosts that were heard of lately, at most [`LISTED_AT_MOST`], since most
+//! tells the hosts that were heard of lately, at most [`MAX_LISTED_HOSTS`], since most
 //! differences are one host that just started. The whole list is for a host that
 //! knows nobody, and for one whose hash has differed for long, and then at most once each
 //! [`WHOLE_LIST_INTERVAL_MS`], whoever asks: one whole list from anyone mends it.
@@ -16,20 +16,20 @@
 use crate::Millis;
 
 /// The most hosts that are told where the whole list isn't. Chosen, not measured.
-pub const LISTED_AT_MOST: usize = 16;
+pub const MAX_LISTED_HOSTS: usize = 16;
 /// Hosts that were heard of within this are told, in ms: more than one of the longest
 /// pauses between heartbeats ([`super::heartbeat_intervals`]).
 const RECENT_MS: Millis = 8_000;
 /// Hashes that differ for this long show that news was missed, in ms: news reach every
 /// host within one of the longest pauses between heartbeats. Chosen, not measured.
-const MISSED_NEWS_MS: Millis = 8_000;
+const MISSED_UPDATE_MS: Millis = 8_000;
 /// Between whole lists that a host tells, in ms. It bounds what they take of a link: of 147
 /// hosts the list has some 12 KB. Chosen, not measured.
 pub const WHOLE_LIST_INTERVAL_MS: Millis = 250;
 
 /// What a peer is told that knows other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tells {
+pub enum HostsToSend {
     /// All hosts.
     All,
     /// Those that were heard of within so many ms.
@@ -38,10 +38,10 @@
 
 /// Decides what a peer is told whose hash has differed for a time.
 #[must_use]
-pub fn tells(differs_ms: Millis, knows_nobody: bool, may_tell_whole: bool) -> Tells {
-    if knows_nobody || (differs_ms >= MISSED_NEWS_MS && may_tell_whole) {
-        Tells::All
+pub fn hosts_to_send(differs_ms: Millis, knows_nobody: bool, may_tell_whole: bool) -> HostsToSend {
+    if knows_nobody || (differs_ms >= MISSED_UPDATE_MS && may_tell_whole) {
+        HostsToSend::All
     } else {
-        Tells::LearntWithin(RECENT_MS)
+        HostsToSend::LearntWithin(RECENT_MS)
     }
 }
--- a/crates/dispatcher-core/src/rules/peer_choice.rs
+++ b/crates/dispatcher-core/src/rules/peer_choice.rs
@@ -4,7 +4,7 @@
 //! that were last heard to have the resources free: its own hall first, then peers
 //! that get a request anyway (one request carries many tasks), then those whose
 //! clock was heard lately; of the best the freer of two that the task's name picks.
-//! What finds nothing is advertised to [`ADVERTISED_PEERS`] peers, others each time.
+//! What finds nothing is advertised to [`MAX_ADVERTISED_PEERS`] peers, others each time.
 //! A host with free resources reserves them for the peer with the first demand,
 //! unless a task of its own goes before it.
 //!
@@ -25,7 +25,7 @@
 
 /// The most peers to which a demand is advertised at a time. The figure was
 /// chosen.
-pub const ADVERTISED_PEERS: usize = 8;
+pub const MAX_ADVERTISED_PEERS: usize = 8;
 /// Between advertisements of the same demand, in ms. The figure was chosen.
 const ADVERTISE_INTERVAL_MS: Millis = 100;
 /// Between advertisements of a demand that grew much or became more urgent, in ms.
@@ -39,7 +39,7 @@
 pub const DEMAND_TTL_MS: Millis = 300;
 /// After a peer had no resources for a task after all, others aren't asked for it
 /// on mere belief for this long, in ms. The figure was chosen.
-pub const ASK_AGAIN_MS: Millis = 25;
+pub const REQUEST_RETRY_MS: Millis = 25;
 
 /// How a peer with the resources compares with others; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -82,7 +82,7 @@
 /// Returns whether a demand is to be advertised, given the last one and when that
 /// was advertised.
 #[must_use]
-pub fn is_advertised(now: Millis, demand: &Demand, last: Option<(&Demand, Millis)>) -> bool {
+pub fn should_advertise(now: Millis, demand: &Demand, last: Option<(&Demand, Millis)>) -> bool {
     let Some((last, at)) = last else {
         return true;
     };
--- a/crates/dispatcher-core/src/rules/priority.rs
+++ b/crates/dispatcher-core/src/rules/priority.rs
@@ -29,7 +29,7 @@
     /// Its latency objective, from its acceptance.
     pub objective_ms: Millis,
     /// Whether a task of it was started, or is lost.
-    pub begun: bool,
+    pub started: bool,
     /// Its queue's urgency; 0 is the most urgent.
     pub urgency: u8,
 }
@@ -48,7 +48,7 @@
     let late_slack = worth_ms(job.objective_ms) as i64 - needed;
     let (class, slack_ms) = if late_slack < 0 {
         (PriorityClass::Worthless, late_slack)
-    } else if job.begun {
+    } else if job.started {
         (PriorityClass::Begun, slack)
     } else if slack >= 0 {
         (PriorityClass::OnTime, slack)
--- a/crates/dispatcher-core/src/rules/retry.rs
+++ b/crates/dispatcher-core/src/rules/retry.rs
@@ -25,7 +25,7 @@
 /// Callers whose job was not completed may send it again for this long, in ms:
 /// its next attempts then follow on the earlier ones. It is also how long the
 /// answer to a job is remembered: callers send again far sooner.
-pub const REMEMBERED_MS: crate::Millis = 6_000;
+pub const ANSWER_RETENTION_MS: crate::Millis = 6_000;
 
 /// What becomes of a task after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     /// What becomes of the task.
     pub next: Next,
     /// By how much the attempt's number grows.
-    pub advance: u32,
+    pub attempt_increment: u32,
     /// Whether the attempt counts as failed.
     pub failed: bool,
     /// Whether later attempts avoid its target.
@@ -54,17 +54,17 @@
 /// Decides what follows from the end of an attempt at a task that has failed
 /// `failures` times before, in a queue that allows `max_attempts`.
 #[must_use]
-pub fn after(outcome: AttemptOutcome, failures: u32, max_attempts: u32) -> Consequence {
+pub fn consequence_of(outcome: AttemptOutcome, failures: u32, max_attempts: u32) -> Consequence {
     let again = Consequence {
         next: Next::TryAgain,
-        advance: 1,
+        attempt_increment: 1,
         failed: false,
         avoid_target: true,
     };
     match outcome {
         AttemptOutcome::Done => Consequence {
             next: Next::Done,
-            advance: 0,
+            attempt_increment: 0,
             avoid_target: false,
             ..again
         },
@@ -86,7 +86,7 @@
             ..again
         },
         AttemptOutcome::StaleAttempt => Consequence {
-            advance: STALE_ATTEMPT_SKIP,
+            attempt_increment: STALE_ATTEMPT_SKIP,
             avoid_target: false,
             ..again
         },
--- a/crates/dispatcher-core/src/rules/running_time.rs
+++ b/crates/dispatcher-core/src/rules/running_time.rs
@@ -9,7 +9,7 @@
 //! shorter, but for the last few. Where most of the last ends lie beyond what was usual, all
 //! before them are forgotten: the work has changed. A few imagined ends around the estimate are
 //! added, which alone speak for a kind that isn't known. From this follow the median, the tail,
-//! and what is left of a task that has run for some time. A task *overruns* after `OVERRUN_TAILS` times the tail.
+//! and what is left of a task that has run for some time. A task *overruns* after `OVERRUN_TAIL_FACTOR` times the tail.
 //!
 //! **Inputs.** Ratios without unit, times in ms. **Reason.** A histogram shows what a mean and a
 //! spread don't: that a few tasks take many times as long by their own nature, so that a task
@@ -37,47 +37,47 @@
 /// task in a hundred still shows.
 const MEMORY_ENDS: f32 = 300.0;
 /// Time alone leaves about so many ends: a kind whose tasks come rarely is known by its last.
-const KEPT_ENDS: f32 = 16.0;
+const MIN_RETAINED_ENDS: f32 = 16.0;
 /// How many of the last ends are looked at for a change of the work.
 const LAST_ENDS: usize = 16;
 /// So many of these lie beyond the usual once the work has changed.
 const CHANGED_ENDS: usize = 12;
 /// The parts of a kind's tasks between which a running time is usual.
-const USUAL: (f64, f64) = (0.05, 0.95);
+const USUAL_QUANTILES: (f64, f64) = (0.05, 0.95);
 /// Imagined ends, as ratios: callers' estimates are right to a factor of 2.
-const IMAGINED: [f64; 5] = [0.5, 0.71, 1.0, 1.41, 2.0];
+const PRIOR_RATIOS: [f64; 5] = [0.5, 0.71, 1.0, 1.41, 2.0];
 /// A kind with this weight of ends is known as well as not.
 const HALF_KNOWN_ENDS: f32 = 8.0;
 /// The part of tasks that end before the tail.
-const TAIL: f64 = 0.99;
+const TAIL_QUANTILE: f64 = 0.99;
 /// Some task may take so many times the median, though none of the known ones did.
-const LEAST_TAIL: f64 = 4.0;
+const MIN_UPPER_BOUND_FACTOR: f64 = 4.0;
 /// A task overruns after so many times the tail: four times the estimate while nothing is known.
-const OVERRUN_TAILS: f64 = 2.0;
+const OVERRUN_TAIL_FACTOR: f64 = 2.0;
 /// An attempt overruns no sooner than this beyond that, in ms: calls and listings take it.
-const OVERRUN_MS: f64 = 150.0;
+const OVERRUN_MARGIN_MS: f64 = 150.0;
 /// What a task that outlived all known ones has left, as a part of the time it has run.
-const LEFT_BEYOND_ALL: f64 = 0.5;
+const REMAINING_SHARE_BEYOND_ALL: f64 = 0.5;
 /// What callers that give no estimate are taken to mean, in ms: they wait for their answers.
 const UNKNOWN_ESTIMATE_MS: Millis = 1_000;
 /// No estimate counts as shorter than this, in ms: calls and listings take as long.
-const SHORTEST_ESTIMATE_MS: Millis = 10;
+const MIN_ESTIMATE_MS: Millis = 10;
 /// A longer estimate counts as none, in ms: it is beyond all that callers wait for.
-const LONGEST_USABLE_ESTIMATE_MS: Millis = 600_000;
+const MAX_USABLE_ESTIMATE_MS: Millis = 600_000;
 
 /// Returns what a caller's estimate counts as, in ms.
 #[must_use]
 pub fn usable_estimate_ms(estimate_ms: Millis) -> Millis {
-    if is_told(estimate_ms) {
-        estimate_ms.max(SHORTEST_ESTIMATE_MS)
+    if is_usable(estimate_ms) {
+        estimate_ms.max(MIN_ESTIMATE_MS)
     } else {
         UNKNOWN_ESTIMATE_MS
     }
 }
 
 /// Returns whether a caller's estimate says anything.
-fn is_told(estimate_ms: Millis) -> bool {
-    (1..=LONGEST_USABLE_ESTIMATE_MS).contains(&estimate_ms)
+fn is_usable(estimate_ms: Millis) -> bool {
+    (1..=MAX_USABLE_ESTIMATE_MS).contains(&estimate_ms)
 }
 
 /// A kind of task: what tasks have in common whose running times are learned together.
@@ -97,7 +97,7 @@
     pub fn of(order: &TaskOrder) -> Self {
         Self {
             pool: order.pool.clone(),
-            estimate_octave: is_told(order.estimate_ms)
+            estimate_octave: is_usable(order.estimate_ms)
                 .then(|| usable_estimate_ms(order.estimate_ms).ilog2()),
             cpu_octave: order.resources.cpu.max(1).ilog2(),
         }
@@ -135,18 +135,18 @@
     }
 
     /// Takes an end in: the running time over the estimate, on an ordinary target.
-    pub fn ended(&mut self, now: Millis, ratio: f64) {
-        self.remember(ratio);
+    pub fn record_end(&mut self, now: Millis, ratio: f64) {
+        self.record_last(ratio);
         self.fade(now);
         self.ends[step_of(ratio)] += 1.0;
         if self.has_changed() {
-            self.begin_anew();
+            self.reset_to_last();
         }
     }
 
     /// Keeps one of the last ends.
-    fn remember(&mut self, ratio: f64) {
-        let (few, most) = USUAL;
+    fn record_last(&mut self, ratio: f64) {
+        let (few, most) = USUAL_QUANTILES;
         let usual = self.quantile(few)..=self.quantile(most);
         self.last.rotate_right(1);
         self.last[0] = LastEnd {
@@ -158,11 +158,11 @@
     /// Returns whether the work is another one than most of the ends show.
     fn has_changed(&self) -> bool {
         let unusual = self.last.iter().filter(|end| end.unusual).count();
-        unusual >= CHANGED_ENDS && self.known_ends() > LAST_ENDS as f32
+        unusual >= CHANGED_ENDS && self.sample_weight() > LAST_ENDS as f32
     }
 
     /// Forgets all but the last ends.
-    fn begin_anew(&mut self) {
+    fn reset_to_last(&mut self) {
         self.ends = [0.0; STEPS];
         for end in &mut self.last {
             self.ends[end.step] += 1.0;
@@ -174,7 +174,7 @@
     fn fade(&mut self, now: Millis) {
         let since = now.saturating_sub(self.at) as f32;
         let by_time = (-since / MEMORY_MS as f32).exp();
-        let least = (KEPT_ENDS / self.known_ends().max(KEPT_ENDS)).min(1.0);
+        let least = (MIN_RETAINED_ENDS / self.sample_weight().max(MIN_RETAINED_ENDS)).min(1.0);
         let kept = by_time.max(least) * (1.0 - 1.0 / MEMORY_ENDS);
         for weight in &mut self.ends {
             *weight *= kept;
@@ -183,9 +183,9 @@
     }
 
     /// Takes in that a task was stopped after it had run for so long, if that says anything.
-    pub fn outlived(&mut self, now: Millis, ratio: f64) {
+    pub fn record_stopped(&mut self, now: Millis, ratio: f64) {
         if ratio > self.median() {
-            self.ended(now, ratio);
+            self.record_end(now, ratio);
         }
     }
 
@@ -197,14 +197,14 @@
 
     /// Returns the weight of ends by which it is known.
     #[must_use]
-    pub fn known_ends(&self) -> f32 {
+    pub fn sample_weight(&self) -> f32 {
         self.ends.iter().sum()
     }
 
     /// Returns how well it is known, between 0 and 1.
     #[must_use]
     pub fn certainty(&self) -> f64 {
-        let known = self.known_ends();
+        let known = self.sample_weight();
         f64::from(known / (known + HALF_KNOWN_ENDS))
     }
 
@@ -217,13 +217,13 @@
     /// Returns the ratio that few tasks exceed.
     #[must_use]
     pub fn tail(&self) -> f64 {
-        self.quantile(TAIL)
+        self.quantile(TAIL_QUANTILE)
     }
 
     /// Returns the longest ratio to reckon with, also where few ends leave the tail unknown.
     #[must_use]
-    pub fn longest(&self) -> f64 {
-        self.tail().max(self.median() * LEAST_TAIL)
+    pub fn upper_bound(&self) -> f64 {
+        self.tail().max(self.median() * MIN_UPPER_BOUND_FACTOR)
     }
 
     /// Returns the ratio that a part of the tasks stays below.
@@ -250,21 +250,21 @@
         let step = step_of(ratio);
         let beside = self.ends[step.saturating_sub(1)] + self.ends[(step + 1).min(STEPS - 1)];
         let about = self.ends[step] / 2.0 + beside / 4.0;
-        let part = about / self.known_ends().max(f32::MIN_POSITIVE);
-        self.mixed(f64::from(part), 1.0 / STEPS as f64)
+        let part = about / self.sample_weight().max(f32::MIN_POSITIVE);
+        self.blend(f64::from(part), 1.0 / STEPS as f64)
     }
 
     /// Returns the part of the tasks that takes longer.
     #[must_use]
-    pub fn outliving(&self, ratio: f64) -> f64 {
+    pub fn share_longer_than(&self, ratio: f64) -> f64 {
         let longer: f32 = self.ends[step_of(ratio)..].iter().sum();
-        let part = longer / self.known_ends().max(f32::MIN_POSITIVE);
-        self.mixed(f64::from(part), 1.0)
+        let part = longer / self.sample_weight().max(f32::MIN_POSITIVE);
+        self.blend(f64::from(part), 1.0)
     }
 
     /// Returns what is expected to be left of a task that has run for so long, both as ratios.
     #[must_use]
-    pub fn left(&self, run: f64) -> f64 {
+    pub fn expected_remaining(&self, run: f64) -> f64 {
         let weights = self.weights();
         let first = step_of(run);
         let longer = (first..STEPS).filter_map(|step| {
@@ -277,27 +277,27 @@
         if total > f64::EPSILON {
             left / total
         } else {
-            run * LEFT_BEYOND_ALL
+            run * REMAINING_SHARE_BEYOND_ALL
         }
     }
 
     /// Returns after how long a task overruns, in ms, if tasks take `scale_ms` at a ratio of 1.
     #[must_use]
     pub fn overrun_after_ms(&self, scale_ms: f64) -> Millis {
-        (self.tail() * OVERRUN_TAILS * scale_ms + OVERRUN_MS) as Millis
+        (self.tail() * OVERRUN_TAIL_FACTOR * scale_ms + OVERRUN_MARGIN_MS) as Millis
     }
 
     /// Returns the weights with the imagined ends.
     fn weights(&self) -> [f64; STEPS] {
         let mut weights = self.ends.map(f64::from);
-        for ratio in IMAGINED {
+        for ratio in PRIOR_RATIOS {
             weights[step_of(ratio)] += 1.0;
         }
         weights
     }
 
     /// Returns what the ends say as far as the kind is known, and else the other value.
-    fn mixed(&self, known: f64, unknown: f64) -> f64 {
+    fn blend(&self, known: f64, unknown: f64) -> f64 {
         let certainty = self.certainty();
         certainty * known + (1.0 - certainty) * unknown
     }
--- a/crates/dispatcher-core/src/rules/shares.rs
+++ b/crates/dispatcher-core/src/rules/shares.rs
@@ -8,10 +8,10 @@
 //! nor behind for what it used of others' shares. Between two that wait all the time, what they
 //! used over their weights differs by the largest task of each at most.
 //!
-//! Urgencies have no shares but a least one: an urgency that used less than [`LEAST_SHARE`] of
+//! Urgencies have no shares but a least one: an urgency that used less than [`MIN_SHARE`] of
 //! what was started lately is due before more urgent ones, so that it isn't starved. The next
 //! task of `core_ms` waits until the use that was counted for the earlier ones has decayed: at
-//! most `HALF_LIFE_MS * log2(1 + core_ms / (LEAST_SHARE * all))`.
+//! most `HALF_LIFE_MS * log2(1 + core_ms / (MIN_SHARE * all))`.
 //!
 //! **Inputs.** Processor time of started tasks by estimate in core-ms, time in ms, weights.
 //! **Reason.** A queue or a hall that sends more than its share makes only its own callers
@@ -26,12 +26,12 @@
 use crate::Millis;
 
 /// The part of the room that the waiting tasks of each urgency get whatever is more urgent.
-pub const LEAST_SHARE: f64 = 0.05;
+pub const MIN_SHARE: f64 = 0.05;
 /// What an urgency has used counts half after this time, in ms: within the deadlines of
 /// callers, so that the least share comes while it is of use to them.
 const HALF_LIFE_MS: f64 = 1_000.0;
 /// The most names that one level remembers: bounds memory.
-const MAX_NAMES: usize = 128;
+const MAX_TRACKED_NAMES: usize = 128;
 
 /// Weights of queues and of halls; 1 for those without one. No setting gives any: at the
 /// dispatcher all are 1.
@@ -56,7 +56,7 @@
 
 /// How far ahead of the others an origin is, in core-ms over its weight; the least is due.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Due {
+pub struct VirtualStart {
     /// Its queue among those of its urgency.
     pub queue: f64,
     /// Its hall within the queue.
@@ -84,7 +84,7 @@
         self.start_of(name) > self.virtual_time
     }
 
-    fn started(&mut self, name: &Name, cost: f64) {
+    fn record_start(&mut self, name: &Name, cost: f64) {
         let until = self.start_of(name) + cost;
         match self.served.iter_mut().find(|(other, _)| other == name) {
             Some(entry) => entry.1 = until,
@@ -94,7 +94,7 @@
 
     /// Remembers one more name; without space for it, the one that is least ahead is forgotten.
     fn remember(&mut self, name: &Name, until: f64) {
-        if self.served.len() >= MAX_NAMES {
+        if self.served.len() >= MAX_TRACKED_NAMES {
             let entries = self.served.iter().enumerate();
             let least = entries.min_by(|(_, a), (_, b)| a.1.total_cmp(&b.1));
             if let Some((position, _)) = least {
@@ -161,15 +161,15 @@
     }
 
     /// Records that a task was started.
-    pub fn started(&mut self, now: Millis, origin: &Origin<'_>, core_ms: u64) {
+    pub fn record_start(&mut self, now: Millis, origin: &Origin<'_>, core_ms: u64) {
         self.decay(now);
         let core_ms = core_ms as f64;
         let level = self.levels.entry(origin.urgency).or_default();
         level.used += core_ms;
         let queue_cost = core_ms / weight(&self.weights.queues, origin.queue);
-        level.queues.started(origin.queue, queue_cost);
+        level.queues.record_start(origin.queue, queue_cost);
         let halls = level.halls.entry(origin.queue.clone()).or_default();
-        halls.started(
+        halls.record_start(
             origin.hall,
             core_ms / weight(&self.weights.halls, origin.hall),
         );
@@ -186,10 +186,10 @@
 
     /// Returns how far ahead an origin is of others of its urgency.
     #[must_use]
-    pub fn due(&self, origin: &Origin<'_>) -> Due {
+    pub fn virtual_start(&self, origin: &Origin<'_>) -> VirtualStart {
         let level = self.levels.get(&origin.urgency);
         let halls = level.and_then(|level| level.halls.get(origin.queue));
-        Due {
+        VirtualStart {
             queue: level.map_or(0.0, |level| level.queues.start_of(origin.queue)),
             hall: halls.map_or(0.0, |halls| halls.start_of(origin.hall)),
         }
@@ -197,10 +197,10 @@
 
     /// Returns whether an urgency has used less than its least share.
     #[must_use]
-    pub fn is_below_least(&self, urgency: u8) -> bool {
+    pub fn is_below_min_share(&self, urgency: u8) -> bool {
         let all: f64 = self.levels.values().map(|level| level.used).sum();
         let used = self.levels.get(&urgency).map_or(0.0, |level| level.used);
-        used < LEAST_SHARE * all
+        used < MIN_SHARE * all
     }
 
     /// Lets what urgencies used decay.
--- a/crates/dispatcher-core/src/rules/store_readers.rs
+++ b/crates/dispatcher-core/src/rules/store_readers.rs
@@ -26,10 +26,10 @@
 pub const READERS_PER_HALL: usize = 2;
 /// In halls of no more hosts than this each reads for itself: little would be saved.
 /// Chosen, not measured.
-const LEAST_HOSTS: usize = 4;
+const MAX_HOSTS_WITHOUT_READERS: usize = 4;
 /// What is believed is stale after this part of the time in which a leaving target has to
 /// be known: the rest is for reading the store. Chosen, not measured.
-const STALE_SHARE: Millis = 2;
+const STALE_DIVISOR: Millis = 2;
 /// Readers are asked this often in that time. Chosen, not measured.
 const ASKS_PER_DRAIN: Millis = 8;
 
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn new(drain_ms: Millis) -> Self {
         Self {
-            stale: drain_ms / STALE_SHARE,
+            stale: drain_ms / STALE_DIVISOR,
             ask: drain_ms / ASKS_PER_DRAIN,
         }
     }
@@ -56,13 +56,13 @@
 /// Returns whom a host asks for news of the store: the readers of its hall first, then
 /// those of others, the next one each time that `unanswered` grows.
 #[must_use]
-pub fn to_ask(hosts: &[HostInfo], own: &HostInfo, unanswered: usize) -> Option<Name> {
+pub fn reader_to_ask(hosts: &[HostInfo], own: &HostInfo, unanswered: usize) -> Option<Name> {
     let mut halls: Vec<&Name> = hosts.iter().map(|host| &host.hall).collect();
     halls.sort_by_key(|hall| (**hall != own.hall, (*hall).clone()));
     halls.dedup();
     let asked: Vec<Name> = halls
         .iter()
-        .flat_map(|hall| most_able(hosts, hall))
+        .flat_map(|hall| with_most_processor_time(hosts, hall))
         .filter(|name| **name != *own.name)
         .collect();
     let spread = xxh3_64(own.name.as_bytes()) as usize % READERS_PER_HALL;
@@ -74,14 +74,14 @@
 #[must_use]
 pub fn readers(hosts: &[HostInfo], hall: &str) -> Vec<Name> {
     let near = hosts.iter().filter(|host| &*host.hall == hall);
-    if near.count() <= LEAST_HOSTS {
+    if near.count() <= MAX_HOSTS_WITHOUT_READERS {
         return Vec::new();
     }
-    most_able(hosts, hall)
+    with_most_processor_time(hosts, hall)
 }
 
 /// Returns the hosts of a hall with the most processor time.
-fn most_able(hosts: &[HostInfo], hall: &str) -> Vec<Name> {
+fn with_most_processor_time(hosts: &[HostInfo], hall: &str) -> Vec<Name> {
     let near = hosts.iter().filter(|host| &*host.hall == hall);
     let mut near: Vec<&HostInfo> = near.collect();
     near.sort_by_cached_key(|host| {
--- a/crates/dispatcher-core/src/rules/target_choice.rs
+++ b/crates/dispatcher-core/src/rules/target_choice.rs
@@ -17,7 +17,7 @@
 use crate::spec::Resources;
 
 /// No target counts as faster than this.
-const LEAST_SLOWDOWN: f64 = 0.5;
+const MIN_SLOWDOWN: f64 = 0.5;
 /// What a target that stays wholly free costs more than one that gets full.
 const FREE_WEIGHT: f64 = 0.5;
 /// What each failure in a row costs.
@@ -43,7 +43,7 @@
 #[must_use]
 pub fn cost(target: &Candidate) -> f64 {
     let size = target.capacity_cpu.max(1);
-    (target.slowdown * target.far_slowdown).max(LEAST_SLOWDOWN)
+    (target.slowdown * target.far_slowdown).max(MIN_SLOWDOWN)
         + FREE_WEIGHT * f64::from(target.left_cpu) / f64::from(size)
         + FAILURE_WEIGHT * f64::from(target.failures)
 }
@@ -73,9 +73,9 @@
 /// Resources for which nothing was found in one pass. In its course resources
 /// only become fewer, so that what needs as much isn't asked for again.
 #[derive(Debug, Default)]
-pub struct NotFound(Vec<Resources>);
+pub struct FailedSearches(Vec<Resources>);
 
-impl NotFound {
+impl FailedSearches {
     /// Returns whether `needed` may be found: asks only if no smaller need was
     /// refused.
     pub fn may_find(&mut self, needed: &Resources, ask: impl FnOnce(&Resources) -> bool) -> bool {
--- a/crates/dispatcher-core/src/rules/target_health.rs
+++ b/crates/dispatcher-core/src/rules/target_health.rs
@@ -1,7 +1,7 @@
 //! When a target gets no tasks, or one at a time, though it is listed.
 //!
 //! **Rule.**
-//! - *Silent*: `MISSES_TO_SILENCE` calls in a row had no reply. It gets nothing
+//! - *Silent*: `MISSED_CALLS_TO_SILENCE` calls in a row had no reply. It gets nothing
 //!   until it answers. One lost answer is not silence.
 //! - *Suspended*: `FAILURES_TO_SUSPEND` attempts in a row failed, it refused a
 //!   start, or an attempt overran. It gets nothing for 1 s, doubling up to 8 s.
@@ -10,7 +10,7 @@
 //! - *Slow*: a moving average of running times over estimates raises its cost; see
 //!   [`super::target_choice`]. Attempts that are overdue count at once.
 //! - An attempt *overruns* after `OVERRUN_FACTOR` times its estimate and
-//!   `OVERRUN_MS`: it is stopped and tried elsewhere.
+//!   `OVERRUN_MARGIN_MS`: it is stopped and tried elsewhere.
 //! - Where running times are learned, [`super::target_speed`] says how slow it is instead, and
 //!   [`super::running_time`] what overruns. It gets one task at a time while it is surely so
 //!   slow, and is suspended for an overrun only if no other attempt has ended well there for
@@ -30,11 +30,11 @@
 /// The first suspension, in ms; doubles each time.
 const FIRST_SUSPENSION_MS: Millis = 1_000;
 /// The longest suspension, in ms.
-const LONGEST_SUSPENSION_MS: Millis = 8_000;
+const MAX_SUSPENSION_MS: Millis = 8_000;
 /// The most doublings of a suspension.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_SUSPENSION_DOUBLINGS: u32 = 3;
 /// Calls in a row without reply after which a target is silent: one answer may be lost.
-const MISSES_TO_SILENCE: u32 = 2;
+const MISSED_CALLS_TO_SILENCE: u32 = 2;
 /// The weight of the last attempt in the moving average of the slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.4;
 /// One attempt moves the average as if it had taken between these many times its estimate.
@@ -43,15 +43,15 @@
 /// well targets take as long.
 const OVERDUE_FACTOR: f64 = 1.8;
 /// Estimates of short tasks are off by this much besides, in ms.
-const OVERDUE_MS: f64 = 30.0;
+const OVERDUE_MARGIN_MS: f64 = 30.0;
 /// A target of this slowdown gets one task at a time.
 pub const ONE_TASK_SLOWDOWN: f64 = 3.0;
 /// An attempt overruns after this many times its estimate.
 const OVERRUN_FACTOR: f64 = 4.0;
 /// An attempt overruns no sooner than this beyond that, in ms.
-const OVERRUN_MS: Millis = 150;
+const OVERRUN_MARGIN_MS: Millis = 150;
 /// A slow target's attempts are given up to this many times as long.
-const MOST_OVERRUN_SLOWDOWN: f64 = 2.0;
+const MAX_OVERRUN_SLOWDOWN: f64 = 2.0;
 
 /// What is known of a target's health.
 #[derive(Clone, Copy, Debug)]
@@ -83,21 +83,21 @@
 
 impl TargetHealth {
     /// Records an attempt that is done.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.suspensions = 0;
     }
 
     /// Records how long an attempt took that is done. Where running times are learned this isn't
     /// told: no long task makes the target suspect; see [`super::target_speed`].
-    pub fn took(&mut self, took_ms: Millis, estimate_ms: Millis) {
+    pub fn record_running_time(&mut self, took_ms: Millis, estimate_ms: Millis) {
         let (least, most) = SLOWDOWN_RANGE;
         let ratio = took_ms as f64 / estimate_ms.max(1) as f64;
         self.slowdown += SLOWDOWN_WEIGHT * (ratio.clamp(least, most) - self.slowdown);
     }
 
     /// Records a failure, and suspends the target after some in a row.
-    pub fn failed(&mut self, now: Millis) {
+    pub fn record_failure(&mut self, now: Millis) {
         self.failures += 1;
         if self.failures >= FAILURES_TO_SUSPEND && self.suspended_until <= now {
             self.suspend(now);
@@ -106,23 +106,23 @@
 
     /// Suspends the target.
     pub fn suspend(&mut self, now: Millis) {
-        let length = FIRST_SUSPENSION_MS << self.suspensions.min(MOST_DOUBLINGS);
-        self.suspended_until = now + length.min(LONGEST_SUSPENSION_MS);
+        let length = FIRST_SUSPENSION_MS << self.suspensions.min(MAX_SUSPENSION_DOUBLINGS);
+        self.suspended_until = now + length.min(MAX_SUSPENSION_MS);
         self.suspensions += 1;
         self.failures = self.failures.max(FAILURES_TO_SUSPEND);
     }
 
     /// Records a reply.
-    pub fn answered(&mut self) {
+    pub fn record_reply(&mut self) {
         self.silent_since = None;
         self.misses = 0;
     }
 
     /// Records a call without reply; returns whether the target is silent. One that
     /// isn't held yet (`held`) is silent after one miss.
-    pub fn missed(&mut self, now: Millis, held: bool) -> bool {
+    pub fn record_missed_call(&mut self, now: Millis, held: bool) -> bool {
         self.misses += 1;
-        let silent = self.misses >= MISSES_TO_SILENCE || !held;
+        let silent = self.misses >= MISSED_CALLS_TO_SILENCE || !held;
         if silent {
             self.silent_since.get_or_insert(now);
         }
@@ -136,7 +136,7 @@
     }
 
     /// Forgets that the target was silent: another host looks after it.
-    pub fn forget_silence(&mut self) {
+    pub fn clear_silence(&mut self) {
         self.silent_since = None;
     }
 
@@ -154,7 +154,7 @@
 
     /// Returns whether a task may be started; `idle` says that none runs there.
     #[must_use]
-    pub fn takes_task(&self, now: Millis, idle: bool) -> bool {
+    pub fn accepts_task(&self, now: Millis, idle: bool) -> bool {
         let well = self.failures < FAILURES_TO_SUSPEND && self.slowdown < ONE_TASK_SLOWDOWN;
         self.silent_since.is_none() && self.suspended_until <= now && (well || idle)
     }
@@ -164,7 +164,7 @@
     #[must_use]
     pub fn slowdown(&self, running: impl Iterator<Item = RunningTime>) -> f64 {
         let overdue = running.map(|attempt| {
-            let since = attempt.since_ms as f64 - OVERDUE_MS;
+            let since = attempt.since_ms as f64 - OVERDUE_MARGIN_MS;
             since / attempt.estimate_ms.max(1) as f64
         });
         let slowest = overdue.fold(1.0, f64::max);
@@ -179,9 +179,9 @@
     /// Returns after how long an attempt overruns, in ms.
     #[must_use]
     pub fn overrun_after_ms(&self, estimate_ms: Millis) -> Millis {
-        let slowdown = self.slowdown.clamp(1.0, MOST_OVERRUN_SLOWDOWN);
+        let slowdown = self.slowdown.clamp(1.0, MAX_OVERRUN_SLOWDOWN);
         let allowed = estimate_ms as f64 * OVERRUN_FACTOR * slowdown;
-        allowed as Millis + OVERRUN_MS
+        allowed as Millis + OVERRUN_MARGIN_MS
     }
 }
 
--- a/crates/dispatcher-core/src/rules/target_speed.rs
+++ b/crates/dispatcher-core/src/rules/target_speed.rs
@@ -13,7 +13,7 @@
 //! **Inputs.** Ratios of running time to estimate, with distance of data taken out; ms. **Reason.**
 //! An average of ratios is moved by one odd task; a median of the last few forgets nothing at
 //! once, and doesn't tell a kind with long tasks from one without. What is common to
-//! all targets is their tasks', not theirs: see [`common`]. **Gives up.** A hall in which all
+//! all targets is their tasks', not theirs: see [`common_slowdown`]. **Gives up.** A hall in which all
 //! targets turn slow at once is taken for work that has become longer, until others are compared.
 
 use super::running_time::{RunningTimes, STEPS_PER_OCTAVE};
@@ -25,22 +25,22 @@
 const STEPS_BELOW_ONE: usize = 4;
 /// A belief returns by two thirds in this time, in ms: a target's trouble lasts for seconds, and
 /// one that isn't used shows nothing.
-const RETURN_MS: f64 = 5_000.0;
+const DECAY_MS: f64 = 5_000.0;
 /// By so much an end moves what the target is for long: some sixty ends count.
-const LASTING_WEIGHT: f32 = 1.0 / 64.0;
+const LONG_TERM_WEIGHT: f32 = 1.0 / 64.0;
 /// How much a belief returns to what any target may be, the rest to what it was for long.
-const ANY_PART: f32 = 0.5;
+const PRIOR_SHARE: f32 = 0.5;
 /// The part of attempts that change their pace on a target that doesn't.
-const UNEVEN_PART: f64 = 0.02;
+const UNEVEN_SHARE: f64 = 0.02;
 /// How many ends it takes for a target to count for others of its kind, or for what is common.
-const LEAST_ENDS: u32 = 8;
+const MIN_ENDS: u32 = 8;
 /// How many targets it takes to say what is common to them.
-const LEAST_TARGETS: usize = 3;
+const MIN_TARGETS: usize = 3;
 /// So many steps are a factor of 1.4.
 const NEAR_STEPS: f32 = 1.5;
 
 /// The likelihood of each slowdown.
-type Belief = [f32; STEPS];
+type Distribution = [f32; STEPS];
 
 /// How slow a target is taken to be.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -64,15 +64,15 @@
         slowed_by: Option<f64>,
     },
     /// It has run for so many times its estimate, and tells no progress.
-    For(&'a RunningTimes, f64),
+    WithoutProgress(&'a RunningTimes, f64),
 }
 
 /// What is known of a target's speed.
 #[derive(Clone, Debug)]
 pub struct TargetSpeed {
-    belief: Belief,
+    distribution: Distribution,
     /// What it was for long.
-    lasting: Belief,
+    long_term: Distribution,
     /// When the belief last returned towards that, in ms.
     at: Millis,
     /// How many ends it rests on.
@@ -82,8 +82,8 @@
 impl Default for TargetSpeed {
     fn default() -> Self {
         Self {
-            belief: any_target(),
-            lasting: any_target(),
+            distribution: prior(),
+            long_term: prior(),
             at: 0,
             ends: 0,
         }
@@ -93,21 +93,21 @@
 impl TargetSpeed {
     /// Returns what is believed of a target that is like others.
     #[must_use]
-    pub fn like<'a>(others: impl Iterator<Item = &'a Self>) -> Self {
+    pub fn from_similar<'a>(others: impl Iterator<Item = &'a Self>) -> Self {
         let known: Vec<&Self> = others.filter(|other| other.is_known()).collect();
-        if known.len() < LEAST_TARGETS {
+        if known.len() < MIN_TARGETS {
             return Self::default();
         }
         let mut lasting = [0.0; STEPS];
         for other in known {
-            for (sum, part) in lasting.iter_mut().zip(other.lasting) {
+            for (sum, part) in lasting.iter_mut().zip(other.long_term) {
                 *sum += part;
             }
         }
         let lasting = normalized(lasting);
         Self {
-            belief: lasting,
-            lasting,
+            distribution: lasting,
+            long_term: lasting,
             ..Self::default()
         }
     }
@@ -115,19 +115,19 @@
     /// Returns whether it rests on ends of its own.
     #[must_use]
     pub fn is_known(&self) -> bool {
-        self.ends >= LEAST_ENDS
+        self.ends >= MIN_ENDS
     }
 
     /// Takes an end in that took so many times its estimate.
-    pub fn ended(&mut self, now: Millis, times: &RunningTimes, ratio: f64) {
-        self.belief = self.returned(now);
+    pub fn record_end(&mut self, now: Millis, times: &RunningTimes, ratio: f64) {
+        self.distribution = self.decayed(now);
         self.at = self.at.max(now);
         self.ends = self.ends.saturating_add(1);
-        weigh(&mut self.belief, |slowdown| {
+        apply_likelihood(&mut self.distribution, |slowdown| {
             times.likelihood(ratio / slowdown)
         });
-        for (lasting, recent) in self.lasting.iter_mut().zip(self.belief) {
-            *lasting += LASTING_WEIGHT * (recent - *lasting);
+        for (lasting, recent) in self.long_term.iter_mut().zip(self.distribution) {
+            *lasting += LONG_TERM_WEIGHT * (recent - *lasting);
         }
     }
 
@@ -138,7 +138,7 @@
         now: Millis,
         running: impl Iterator<Item = Running<'a>>,
     ) -> Slowdown {
-        let mut belief = self.returned(now);
+        let mut belief = self.decayed(now);
         for shown in running {
             match shown {
                 Running::AtPace {
@@ -146,14 +146,18 @@
                     ratio,
                     slowed_by,
                 } => {
-                    weigh(&mut belief, |slowdown| times.likelihood(ratio / slowdown));
+                    apply_likelihood(&mut belief, |slowdown| times.likelihood(ratio / slowdown));
                     if let Some(by) = slowed_by {
-                        let shown = slowdown_at(f64::from(mean(&self.lasting))) * by;
-                        weigh(&mut belief, |slowdown| if_about(shown, slowdown));
+                        let shown = slowdown_at(f64::from(mean(&self.long_term))) * by;
+                        apply_likelihood(&mut belief, |slowdown| {
+                            pace_change_likelihood(shown, slowdown)
+                        });
                     }
                 }
-                Running::For(times, ratio) => {
-                    weigh(&mut belief, |slowdown| times.outliving(ratio / slowdown));
+                Running::WithoutProgress(times, ratio) => {
+                    apply_likelihood(&mut belief, |slowdown| {
+                        times.share_longer_than(ratio / slowdown)
+                    });
                 }
             }
         }
@@ -166,13 +170,13 @@
     }
 
     /// Returns the belief as it has returned since the last end.
-    fn returned(&self, now: Millis) -> Belief {
+    fn decayed(&self, now: Millis) -> Distribution {
         let since = now.saturating_sub(self.at) as f64;
-        let kept = (-since / RETURN_MS).exp() as f32;
-        let any = any_target();
+        let kept = (-since / DECAY_MS).exp() as f32;
+        let any = prior();
         std::array::from_fn(|step| {
-            let rest = ANY_PART * any[step] + (1.0 - ANY_PART) * self.lasting[step];
-            kept * self.belief[step] + (1.0 - kept) * rest
+            let rest = PRIOR_SHARE * any[step] + (1.0 - PRIOR_SHARE) * self.long_term[step];
+            kept * self.distribution[step] + (1.0 - kept) * rest
         })
     }
 }
@@ -180,9 +184,9 @@
 /// Returns what is common to targets' slowdowns, which is their tasks' and not theirs: the
 /// median of those known, and 1 where they are few.
 #[must_use]
-pub fn common(known: impl Iterator<Item = f64>) -> f64 {
+pub fn common_slowdown(known: impl Iterator<Item = f64>) -> f64 {
     let mut known: Vec<f64> = known.collect();
-    if known.len() < LEAST_TARGETS {
+    if known.len() < MIN_TARGETS {
         return 1.0;
     }
     known.sort_by(f64::total_cmp);
@@ -191,7 +195,7 @@
 
 /// Returns what any target may be: most are within a factor of 1.6 of the ordinary, and few
 /// are many times slower.
-fn any_target() -> Belief {
+fn prior() -> Distribution {
     normalized(std::array::from_fn(|step| {
         let off = step as f32 - STEPS_BELOW_ONE as f32;
         1.0 / (1.0 + off * off)
@@ -199,7 +203,7 @@
 }
 
 /// Multiplies a belief by what is seen.
-fn weigh(belief: &mut Belief, likelihood: impl Fn(f64) -> f64) {
+fn apply_likelihood(belief: &mut Distribution, likelihood: impl Fn(f64) -> f64) {
     for (step, part) in belief.iter_mut().enumerate() {
         *part *= likelihood(slowdown_at(step as f64)) as f32;
     }
@@ -207,24 +211,24 @@
 }
 
 /// Returns a belief whose parts sum to 1; nothing is ruled out for ever.
-fn normalized(belief: Belief) -> Belief {
+fn normalized(belief: Distribution) -> Distribution {
     let sum: f32 = belief.iter().sum();
     belief.map(|part| (part / sum).max(f32::EPSILON))
 }
 
 /// Returns the mean place of a belief, in steps.
-fn mean(belief: &Belief) -> f32 {
+fn mean(belief: &Distribution) -> f32 {
     let steps = belief.iter().enumerate();
     steps.map(|(step, part)| step as f32 * part).sum()
 }
 
 /// Returns how likely it is that an attempt's change shows one slowdown where it is another.
-fn if_about(shown: f64, other: f64) -> f64 {
+fn pace_change_likelihood(shown: f64, other: f64) -> f64 {
     let steps = (shown / other).log2().abs() * STEPS_PER_OCTAVE;
     if steps <= f64::from(NEAR_STEPS) {
         1.0
     } else {
-        UNEVEN_PART
+        UNEVEN_SHARE
     }
 }
 
--- a/crates/dispatcher-core/src/rules/waiting_order.rs
+++ b/crates/dispatcher-core/src/rules/waiting_order.rs
@@ -7,7 +7,7 @@
 //! start that keeps the class. Whether a task's owner is this host or a peer makes no
 //! difference.
 //!
-//! A job is a unit: what has begun goes first within its urgency. By [`may_begin`] a job would
+//! A job is a unit: what has begun goes first within its urgency. By [`may_start_job`] a job would
 //! count as late as soon as the room until its latest start doesn't suffice for it and for what
 //! has begun; the dispatcher doesn't ask it, only tests of the rules do.
 //!
@@ -27,7 +27,7 @@
 use crate::message::PriorityClass;
 use crate::Millis;
 
-use super::shares::{Due, Origin, Shares};
+use super::shares::{Origin, Shares, VirtualStart};
 
 /// A task that waits.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
 impl Waiting<'_> {
     /// Returns whether it has begun or can be on time; shares are reckoned over these.
     #[must_use]
-    pub fn counts(&self) -> bool {
+    pub fn counts_for_shares(&self) -> bool {
         self.class <= PriorityClass::OnTime
     }
 }
@@ -70,34 +70,34 @@
 
 /// The place of a waiting task; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct Rank {
     worth: Worth,
-    has_least_share: bool,
+    has_min_share: bool,
     urgency: u8,
     class: PriorityClass,
-    due: Due,
+    virtual_start: VirtualStart,
     slack_ms: i64,
 }
 
 /// Returns the place of a waiting task.
 #[must_use]
-pub fn place(task: &Waiting<'_>, shares: &Shares) -> Place {
+pub fn rank(task: &Waiting<'_>, shares: &Shares) -> Rank {
     let urgency = task.origin.urgency;
-    Place {
+    Rank {
         worth: Worth::of(task.class),
-        has_least_share: !shares.is_below_least(urgency),
+        has_min_share: !shares.is_below_min_share(urgency),
         urgency,
         class: task.class,
-        due: shares.due(&task.origin),
+        virtual_start: shares.virtual_start(&task.origin),
         slack_ms: task.slack_ms,
     }
 }
 
-/// Compares two waiting tasks; the lesser goes first. The dispatcher asks [`Line`], which looks
+/// Compares two waiting tasks; the lesser goes first. The dispatcher asks [`WaitingTasks`], which looks
 /// at many at a time; tests hold the two against each other.
 #[must_use]
 pub fn compare(a: &Waiting<'_>, b: &Waiting<'_>, shares: &Shares) -> Ordering {
-    let places = place(a, shares).partial_cmp(&place(b, shares));
+    let places = rank(a, shares).partial_cmp(&rank(b, shares));
     places.unwrap_or(Ordering::Equal)
 }
 
@@ -110,7 +110,7 @@
 }
 
 impl<'a> Group<'a> {
-    fn holds(&self, task: &Waiting<'_>) -> bool {
+    fn matches(&self, task: &Waiting<'_>) -> bool {
         let (own, other) = (&self.first.origin, &task.origin);
         self.first.class == task.class
             && own.urgency == other.urgency
@@ -130,11 +130,11 @@
 /// Waiting tasks in groups, so that who is due is looked up once for each group and not for
 /// each task.
 #[derive(Clone, Debug, Default)]
-pub struct Line<'a> {
+pub struct WaitingTasks<'a> {
     groups: Vec<Group<'a>>,
 }
 
-impl<'a> Line<'a> {
+impl<'a> WaitingTasks<'a> {
     /// Groups tasks; they are named by their position from here on.
     #[must_use]
     pub fn new(tasks: impl Iterator<Item = Waiting<'a>>) -> Self {
@@ -150,7 +150,7 @@
 
     fn add(&mut self, position: usize, task: Waiting<'a>) {
         let entry = (task.slack_ms, position);
-        match self.groups.iter_mut().find(|group| group.holds(&task)) {
+        match self.groups.iter_mut().find(|group| group.matches(&task)) {
             Some(group) => group.tasks.push(entry),
             None => self.groups.push(Group {
                 first: task,
@@ -161,7 +161,10 @@
 
     /// Returns for whom tasks wait that count for shares; see [`Shares::advance`].
     pub fn origins(&self) -> impl Iterator<Item = Origin<'a>> + Clone + '_ {
-        let counting = self.groups.iter().filter(|group| group.first.counts());
+        let counting = self
+            .groups
+            .iter()
+            .filter(|group| group.first.counts_for_shares());
         counting.map(|group| group.first.origin)
     }
 
@@ -172,14 +175,14 @@
         shares: &Shares,
         mut may_start: impl FnMut(usize) -> bool,
     ) -> Option<usize> {
-        let mut first: Option<(Place, usize, usize)> = None;
+        let mut first: Option<(Rank, usize, usize)> = None;
         for (number, group) in self.groups.iter().enumerate() {
             let mut tasks = group.tasks.iter().enumerate();
             let Some((at, (slack_ms, _))) = tasks.find(|(_, (_, position))| may_start(*position))
             else {
                 continue;
             };
-            let place = place(&group.task(*slack_ms), shares);
+            let place = rank(&group.task(*slack_ms), shares);
             if first.is_none_or(|(least, ..)| place < least) {
                 first = Some((place, number, at));
             }
@@ -196,7 +199,7 @@
 /// Returns whether a job may begin: `room_cpu` thousandths of a core do its `core_ms` and the
 /// `begun_core_ms` that are left of what has begun within `slack_ms`, until its latest start.
 #[must_use]
-pub fn may_begin(core_ms: u64, begun_core_ms: u64, room_cpu: u32, slack_ms: Millis) -> bool {
+pub fn may_start_job(core_ms: u64, begun_core_ms: u64, room_cpu: u32, slack_ms: Millis) -> bool {
     let room = u64::from(room_cpu) * slack_ms / 1_000;
     begun_core_ms + core_ms <= room
 }
--- a/crates/dispatcher-core/src/settings.rs
+++ b/crates/dispatcher-core/src/settings.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::rules::leases::LEAST_OWNER_LEASE_MS;
+use crate::rules::leases::MIN_OWNER_LEASE_MS;
 use crate::Millis;
 
 /// Bounds that the deployment sets, in ms.
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BoundsError {
     /// Callers send again sooner than a lost attempt can be known to be over.
-    #[error("retransmit-ms {retransmit_ms} leaves {left_ms} ms for an owner lease, {LEAST_OWNER_LEASE_MS} are needed")]
+    #[error("retransmit-ms {retransmit_ms} leaves {left_ms} ms for an owner lease, {MIN_OWNER_LEASE_MS} are needed")]
     TooTight {
         /// The bound.
         retransmit_ms: Millis,
--- a/crates/dispatcher-core/src/targets/attempt.rs
+++ b/crates/dispatcher-core/src/targets/attempt.rs
@@ -5,7 +5,7 @@
 use crate::decision::EndEvidence;
 use crate::event::CallId;
 use crate::message::{AttemptEnd, Envelope, SpreadLimit, TaskOrder};
-use crate::rules::crashes::{self, Ran};
+use crate::rules::crashes::{self, RunState};
 use crate::rules::long_tasks::TaskSize;
 use crate::rules::progress::Progress;
 use crate::rules::running_time::TaskKind;
@@ -152,11 +152,11 @@
     /// Records the progress that the target's listing shows; `clock` is the target's.
     pub(super) fn observe_progress(&mut self, now: Millis, percent: u8, clock: Millis) {
         self.progress_received = now;
-        let first = Progress::first_told(percent, clock);
+        let first = Progress::from_listing(percent, clock);
         let progress = self.progress.get_or_insert(first);
         progress.observe(percent, clock);
         self.is_stalled = match &self.forecast {
-            Some(forecast) => progress.is_stalled_beside(clock, forecast.longest_ms),
+            Some(forecast) => progress.is_stalled_for_kind(clock, forecast.longest_ms),
             None => progress.is_stalled(clock, self.estimate_ms),
         };
     }
@@ -167,7 +167,7 @@
         let Some(forecast) = &self.forecast else {
             return now > self.started + health.overrun_after_ms(self.estimate_ms);
         };
-        let reports_progress = self.progress.is_some_and(|progress| progress.is_told());
+        let reports_progress = self.progress.is_some_and(|progress| progress.is_reported());
         !reports_progress && now > self.started + forecast.overrun_after_ms
     }
 
@@ -210,16 +210,16 @@
     /// Returns how certain it is that the attempt ran when its target was lost. `gone_by` is the
     /// latest time at which the target can have stopped; with `None`, an attempt whose end wasn't
     /// received counts as running.
-    pub(super) fn running_when_lost(&self, gone_by: Option<Millis>) -> Ran {
+    pub(super) fn running_when_lost(&self, gone_by: Option<Millis>) -> RunState {
         if self.unsent_specification.is_some() {
-            return Ran::No;
+            return RunState::NotRunning;
         }
         let may_be_done = gone_by.is_some_and(|gone_by| self.earliest_end() <= gone_by);
         match (self.stop, self.confirmed) {
-            (StopStage::Done(_), _) => Ran::No,
-            (StopStage::NotRequested, Some(_)) if !may_be_done => Ran::Surely,
+            (StopStage::Done(_), _) => RunState::NotRunning,
+            (StopStage::NotRequested, Some(_)) if !may_be_done => RunState::Confirmed,
             (StopStage::NotRequested | StopStage::ToSend | StopStage::Sent { .. }, _) => {
-                Ran::Perhaps
+                RunState::Unconfirmed
             }
         }
     }
@@ -227,11 +227,11 @@
     /// Returns the earliest time at which the attempt may be done, by its progress or its estimate.
     fn earliest_end(&self) -> Millis {
         let estimate_ms = self.estimate_ms as f64;
-        let reported = self.progress.filter(Progress::is_told);
+        let reported = self.progress.filter(Progress::is_reported);
         let Some(progress) = reported else {
             return self.started + crashes::least_remaining_ms(estimate_ms, 0);
         };
-        let total_ms = progress.quickest_total_ms();
+        let total_ms = progress.fastest_total_ms();
         let total_ms = total_ms.unwrap_or(estimate_ms).min(estimate_ms);
         self.progress_received + crashes::least_remaining_ms(total_ms, progress.percent())
     }
--- a/crates/dispatcher-core/src/targets/capacity.rs
+++ b/crates/dispatcher-core/src/targets/capacity.rs
@@ -10,7 +10,7 @@
 use crate::decision::{BeliefSource, Decision, EntryFault, TargetBelief};
 use crate::event::TargetEntry;
 use crate::message::TaskOrder;
-use crate::rules::capacity::ToldCapacity;
+use crate::rules::capacity::ReportedCapacity;
 use crate::rules::target_choice;
 use crate::spec::Resources;
 use crate::Millis;
@@ -21,7 +21,7 @@
 /// The capacity that a target has reported.
 #[derive(Debug)]
 pub(super) struct Capacity {
-    reported: ToldCapacity,
+    reported: ReportedCapacity,
     /// True if the last listing held a capacity that can't be read.
     is_unusable: bool,
 }
@@ -29,7 +29,7 @@
 impl Capacity {
     pub(super) fn new(entry: Resources) -> Self {
         Self {
-            reported: ToldCapacity::new(entry),
+            reported: ReportedCapacity::new(entry),
             is_unusable: false,
         }
     }
@@ -49,7 +49,7 @@
 impl Target {
     /// Replaces the target's entry by a newer one from the platform's list.
     pub(super) fn update_entry(&mut self, now: Millis, entry: TargetEntry) -> CapacityChange {
-        if self.capacity.reported.entry_told(now, entry.capacity) {
+        if self.capacity.reported.record_entry(now, entry.capacity) {
             self.lease.next_renewal = now;
         }
         let before = std::mem::replace(&mut self.entry, entry).capacity;
@@ -65,7 +65,7 @@
         let is_unusable = matches!(capacity, Some(Err(_)));
         let was_unusable = std::mem::replace(&mut self.capacity.is_unusable, is_unusable);
         let usable = capacity.and_then(Result::ok);
-        self.capacity.reported.listing_told(requested, usable);
+        self.capacity.reported.record_listing(requested, usable);
         let change = self.apply_capacity(self.entry.capacity);
         if is_unusable && !was_unusable {
             return CapacityChange::BecameUnusable;
@@ -75,7 +75,7 @@
 
     /// Discards the capacity that listings reported; the entry's is in force again.
     pub(super) fn clear_listed_capacity(&mut self) {
-        self.capacity.reported.forget_listings();
+        self.capacity.reported.discard_listings();
         self.capacity.is_unusable = false;
         self.apply_capacity(self.entry.capacity);
     }
@@ -91,7 +91,7 @@
 
     /// Returns true if the target could run the task, now or once its resources are free.
     pub(super) fn could_run(&self, order: &TaskOrder) -> bool {
-        target_choice::could_run(&self.entry, &self.capacity.reported.most(), order)
+        target_choice::could_run(&self.entry, &self.capacity.reported.maximum(), order)
     }
 
     /// Returns the resources of all attempts, including those being stopped.
--- a/crates/dispatcher-core/src/targets/claims.rs
+++ b/crates/dispatcher-core/src/targets/claims.rs
@@ -167,7 +167,9 @@
         self.end_unsent(now, id);
         let misassigned = self.assignment.is_misassigned(id);
         match contention::respond(now, claim, misassigned) {
-            Response::TakeBack { forget_losses } => {
+            Response::TakeBack {
+                reset_lost_claims: forget_losses,
+            } => {
                 let token = self.tokens.next(now);
                 self.reacquire(id, |lease| lease.take_back(now, token, forget_losses));
             }
--- a/crates/dispatcher-core/src/targets/ends.rs
+++ b/crates/dispatcher-core/src/targets/ends.rs
@@ -8,7 +8,7 @@
 use crate::decision::EndEvidence;
 use crate::event::{ListedAttempt, ListedEnd, ListedOutcome};
 use crate::message::{AttemptEnd, AttemptId, AttemptOutcome};
-use crate::rules::crashes::{self, Ran, TargetLoss};
+use crate::rules::crashes::{self, RunState, TargetLoss};
 use crate::Millis;
 
 use super::attempt::{EndReport, MeasuredTask};
@@ -70,15 +70,16 @@
         let took_ms = now.saturating_sub(attempt.started);
         let outcome = match end.outcome {
             ListedOutcome::Done => {
-                self.health.succeeded();
+                self.health.record_success();
                 if self.learned_speed.is_none() {
-                    self.health.took(took_ms, attempt.estimate_ms);
+                    self.health
+                        .record_running_time(took_ms, attempt.estimate_ms);
                 }
                 AttemptOutcome::Done
             }
             ListedOutcome::Failed => {
                 if self.learned_speed.is_none() {
-                    self.health.failed(now);
+                    self.health.record_failure(now);
                 }
                 AttemptOutcome::Failed
             }
@@ -136,7 +137,8 @@
         gone_by: Option<Millis>,
     ) -> BTreeMap<AttemptId, AttemptOutcome> {
         let attempts = self.attempts.values();
-        let running = attempts.filter(|attempt| attempt.running_when_lost(gone_by) != Ran::No);
+        let running =
+            attempts.filter(|attempt| attempt.running_when_lost(gone_by) != RunState::NotRunning);
         let running = running.count();
         let others = running.saturating_sub(1);
         let leaving = self.entry.leaving;
--- a/crates/dispatcher-core/src/targets/free_capacity.rs
+++ b/crates/dispatcher-core/src/targets/free_capacity.rs
@@ -6,7 +6,7 @@
 use gannetridge_wire::Name;
 
 use crate::message::{TargetRoom, TaskOrder};
-use crate::rules::backlog::HANDED_MS;
+use crate::rules::backlog::MAX_HOLDER_WAIT_MS;
 use crate::rules::long_tasks::TaskSize;
 use crate::rules::target_choice;
 use crate::target_list::TargetEntry;
@@ -133,7 +133,7 @@
 
     fn add(&mut self, now: Millis, target: &Target, mean_attempt_cpu: u32) {
         let free = target.free().cpu;
-        let soon_cpu = free + target.expected_to_free(now, HANDED_MS);
+        let soon_cpu = free + target.expected_to_free(now, MAX_HOLDER_WAIT_MS);
         self.capacity_cpu += target.entry.capacity.cpu;
         self.used_cpu += target.entry.capacity.cpu.saturating_sub(free);
         self.soon_free_cpu += whole_tasks_cpu(soon_cpu, mean_attempt_cpu);
--- a/crates/dispatcher-core/src/targets/learned_times.rs
+++ b/crates/dispatcher-core/src/targets/learned_times.rs
@@ -14,10 +14,10 @@
 use crate::decision::{Decision, EndEvidence};
 use crate::event::TargetEntry;
 use crate::message::{AttemptId, AttemptOutcome};
-use crate::rules::failure_source::RecentEnds;
+use crate::rules::failure_source::RecentOutcomes;
 use crate::rules::running_time::{usable_estimate_ms, RunningTimes, TaskKind};
 use crate::rules::target_health::ONE_TASK_SLOWDOWN;
-use crate::rules::target_speed::{common, Running, Slowdown, TargetSpeed};
+use crate::rules::target_speed::{common_slowdown, Running, Slowdown, TargetSpeed};
 use crate::settings::{RunningTimes as RunningTimesFrom, Settings};
 use crate::Millis;
 
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 struct KnownKind {
     times: RunningTimes,
-    ends: RecentEnds,
+    ends: RecentOutcomes,
 }
 
 /// The running times of the kinds of tasks that ran on this host's targets.
@@ -114,7 +114,7 @@
         let known = self.kinds.entry(kind.clone());
         Some(known.or_insert_with(|| KnownKind {
             times: RunningTimes::new(now),
-            ends: RecentEnds::default(),
+            ends: RecentOutcomes::default(),
         }))
     }
 
@@ -130,11 +130,11 @@
         let task = &report.task;
         let ratio = report.took_ms as f64 / self.scale_ms(task.estimate_ms, task.is_far);
         let before = learned.speed.slowdown(now, std::iter::empty());
-        learned.speed.ended(now, self.times(&task.kind), ratio);
+        learned.speed.record_end(now, self.times(&task.kind), ratio);
         learned.last_done = now;
         let beside_others = before.factor / self.common_slowdown;
         if let Some(kind) = self.kind_mut(now, &task.kind) {
-            kind.times.ended(now, ratio / beside_others);
+            kind.times.record_end(now, ratio / beside_others);
             kind.ends.record(now, &report.end.target, false);
         }
     }
@@ -145,7 +145,7 @@
         let kind = self.kind_mut(now, &report.task.kind);
         kind.is_none_or(|kind| {
             kind.ends.record(now, target, true);
-            kind.ends.blames(now, target)
+            kind.ends.counts_against(now, target)
         })
     }
 
@@ -154,7 +154,7 @@
         let run_ms = now.saturating_sub(attempt.started) as f64;
         let scale_ms = self.scale_ms(attempt.estimate_ms, attempt.is_far);
         if let Some(kind) = self.kind_mut(now, &attempt.kind) {
-            kind.times.outlived(now, run_ms / scale_ms / slowdown);
+            kind.times.record_stopped(now, run_ms / scale_ms / slowdown);
         }
     }
 
@@ -172,7 +172,7 @@
                 ratio: pace_ms / scale_ms,
                 slowed_by: progress.and_then(|progress| progress.slowed_by()),
             },
-            None => Running::For(times, run_ms / scale_ms),
+            None => Running::WithoutProgress(times, run_ms / scale_ms),
         })
     }
 
@@ -190,13 +190,15 @@
         let ordinary_ms = self.scale_ms(attempt.estimate_ms, attempt.is_far);
         let scale_ms = ordinary_ms * slowdown;
         let run_ms = now.saturating_sub(attempt.started) as f64;
-        let end_ms = attempt.progress.and_then(|progress| progress.end_ms());
+        let end_ms = attempt
+            .progress
+            .and_then(|progress| progress.expected_run_ms());
         let left_ms = match end_ms {
             Some(end_ms) => (end_ms - run_ms).max(0.0),
-            None => times.left(run_ms / scale_ms) * scale_ms,
+            None => times.expected_remaining(run_ms / scale_ms) * scale_ms,
         };
         Forecast {
-            longest_ms: times.longest() * ordinary_ms * slowdown_by_ends,
+            longest_ms: times.upper_bound() * ordinary_ms * slowdown_by_ends,
             end: now + left_ms as Millis,
             overrun_after_ms: times.overrun_after_ms(ordinary_ms * slowdown_by_ends),
         }
@@ -233,7 +235,7 @@
         cpu: 1 << kind.cpu_octave,
         median: times.median(),
         tail: times.tail(),
-        ends: times.known_ends() as u32,
+        ends: times.sample_weight() as u32,
     }
 }
 
@@ -302,7 +304,7 @@
         });
         let speeds = similar.filter_map(|other| other.learned_speed.as_ref());
         let speeds = speeds.map(|learned| &learned.speed);
-        Some(LearnedSpeed::new(TargetSpeed::like(speeds)))
+        Some(LearnedSpeed::new(TargetSpeed::from_similar(speeds)))
     }
 
     /// Learns from the ends that a target listed.
@@ -320,7 +322,7 @@
             match report.end.outcome {
                 AttemptOutcome::Done => times.record_done(now, learned, report),
                 AttemptOutcome::Failed if times.record_failure(now, report) => {
-                    target.health.failed(now)
+                    target.health.record_failure(now)
                 }
                 AttemptOutcome::Failed
                 | AttemptOutcome::Lost
@@ -346,7 +348,7 @@
                 let slowdown = learned.speed.slowdown(now, std::iter::empty());
                 learned.speed.is_known().then_some(slowdown.factor)
             });
-            times.common_slowdown = common(known);
+            times.common_slowdown = common_slowdown(known);
         }
         let mut records = times.due_log_records(now);
         for id in &self.active {
--- a/crates/dispatcher-core/src/targets/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -31,8 +31,8 @@
 use crate::decision::{BeliefSource, Decision, TargetBelief};
 use crate::event::CallId;
 use crate::message::AttemptId;
-use crate::rules::congestion::StartReplies;
-use crate::rules::draining::Halls;
+use crate::rules::congestion::StartReplyTimes;
+use crate::rules::draining::HallSet;
 use crate::rules::leases::Times;
 use crate::settings::{Safeguards, Settings};
 use crate::Millis;
@@ -110,10 +110,10 @@
     /// The pools that the configuration names; `None` before there is a configuration.
     pools: Option<HashSet<Name>>,
     /// The halls that get no new tasks.
-    draining: Halls,
+    draining: HallSet,
     /// Added to the timeouts of replies, in ms; see [`crate::rules::congestion`].
     added_wait_ms: Millis,
-    start_replies: StartReplies,
+    start_replies: StartReplyTimes,
     /// The running times of kinds of tasks, if they are learned.
     learned_times: Option<LearnedTimes>,
     assignment: Assignment,
@@ -143,9 +143,9 @@
             active: BTreeSet::new(),
             unlisted: BTreeSet::new(),
             pools: None,
-            draining: Halls::default(),
+            draining: HallSet::default(),
             added_wait_ms: 0,
-            start_replies: StartReplies::default(),
+            start_replies: StartReplyTimes::default(),
             learned_times: LearnedTimes::from_settings(settings),
             assignment: Assignment::new(settings.name.clone()),
             tokens: TokenGenerator::new(settings.epoch_ms, &settings.name),
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -192,8 +192,8 @@
         };
         let sent = attempts.get(id).map(|attempt| attempt.started);
         match (reply, sent) {
-            (Ok(_), Some(sent)) => self.start_replies.replied(now.saturating_sub(sent)),
-            (Err(SendFailure::Unknown), _) => self.start_replies.missed(),
+            (Ok(_), Some(sent)) => self.start_replies.record_reply(now.saturating_sub(sent)),
+            (Err(SendFailure::Unknown), _) => self.start_replies.record_missing_reply(),
             (Ok(_) | Err(_), _) => {}
         }
     }
@@ -221,7 +221,7 @@
             }
             Ok(TargetReply::InsufficientResources { .. }) => {
                 target.lease.next_renewal = now;
-                target.health.failed(now);
+                target.health.record_failure(now);
                 target.end_attempt(now, id, lost, EndEvidence::InsufficientResources)
             }
             Ok(TargetReply::StaleAttempt { .. }) => {
--- a/crates/dispatcher-core/src/targets/starts.rs
+++ b/crates/dispatcher-core/src/targets/starts.rs
@@ -109,7 +109,7 @@
             specification,
             until: target.start_deadline(now, &self.times, extends),
         });
-        let wait_ms = self.start_replies.wait_ms();
+        let wait_ms = self.start_replies.timeout_ms();
         self.call(target_id, Purpose::Start(id.clone()), start, wait_ms);
     }
 
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -97,7 +97,7 @@
         self.extended_until = None;
         self.incarnation_start = None;
         self.clear_listed_capacity();
-        self.health.forget_silence();
+        self.health.clear_silence();
     }
 
     /// Returns true if no attempt is known on the target.
@@ -148,7 +148,7 @@
             .learned_speed
             .as_ref()
             .is_some_and(LearnedSpeed::is_very_slow);
-        known && self.health.takes_task(now, self.is_idle()) && (self.is_idle() || !is_very_slow)
+        known && self.health.accepts_task(now, self.is_idle()) && (self.is_idle() || !is_very_slow)
     }
 
     /// Returns true if the task fits now, by free resources, quarantine and its spread limit.
@@ -331,13 +331,13 @@
             received: now,
             clock,
         });
-        self.health.answered();
+        self.health.record_reply();
         self.refuses_since = None;
     }
 
     /// Records a call without reply; returns true if the target is silent.
     pub(super) fn record_missed_reply(&mut self, now: Millis) -> bool {
-        self.health.missed(now, self.lease.is_held())
+        self.health.record_missed_call(now, self.lease.is_held())
     }
 
     /// Records that the target has an attempt.
@@ -350,7 +350,7 @@
     /// Records that the target started an attempt, at a time of its clock.
     pub(super) fn record_start(&mut self, id: &AttemptId, clock: Millis) {
         if let Some(attempt) = self.attempts.get_mut(id) {
-            attempt.progress.get_or_insert(Progress::begun(clock));
+            attempt.progress.get_or_insert(Progress::started(clock));
         }
     }
 
--- a/crates/dispatcher-core/src/targets/usable.rs
+++ b/crates/dispatcher-core/src/targets/usable.rs
@@ -11,7 +11,7 @@
 
 use crate::decision::{BeliefSource, TargetBelief};
 use crate::message::{FreeResources, TaskOrder};
-use crate::rules::draining::Halls;
+use crate::rules::draining::HallSet;
 use crate::rules::target_choice;
 use crate::spec::Resources;
 use crate::Millis;
@@ -105,7 +105,7 @@
     }
 
     /// Sets the halls that get no new tasks from now on.
-    pub fn set_draining(&mut self, halls: &Halls) {
+    pub fn set_draining(&mut self, halls: &HallSet) {
         let before = std::mem::replace(&mut self.draining, Arc::clone(halls));
         for id in self.leased.clone() {
             let target = self.targets.get_mut(&id).expect("leased targets are known");
--- a/crates/dispatcher-core/tests/arrival.rs
+++ b/crates/dispatcher-core/tests/arrival.rs
@@ -5,8 +5,8 @@
 use gannetridge_dispatcher_core::configuration::Queue;
 use gannetridge_dispatcher_core::decision::{EndCause, Forecast};
 use gannetridge_dispatcher_core::message::{PoolLoad, WaitingWork};
-use gannetridge_dispatcher_core::rules::arrival::{decide, Arrival, Arriving, PoolKnowledge};
-use gannetridge_dispatcher_core::rules::giving_up::{due, is_passed_over, OpenJob};
+use gannetridge_dispatcher_core::rules::arrival::{decide, Arrival, ArrivingJob, KnownPoolLoad};
+use gannetridge_dispatcher_core::rules::giving_up::{end_cause, is_passed_over, OpenJob};
 use gannetridge_dispatcher_core::settings::WaitingOrder;
 use gannetridge_dispatcher_core::{Answer, Event, Millis, Scheduling, Settings};
 use support::{case, queues, settings, step, target, Rig};
@@ -29,22 +29,22 @@
     }
 }
 
-fn pool(loads: &[(PoolLoad, Millis)]) -> PoolKnowledge {
+fn pool(loads: &[(PoolLoad, Millis)]) -> KnownPoolLoad {
     let loads = loads.iter().map(|(load, age_ms)| (load, *age_ms));
-    PoolKnowledge::new(loads, 200_000, FRESH_MS)
+    KnownPoolLoad::new(loads, 200_000, FRESH_MS)
 }
 
 /// What is decided on a job of urgency 1 that takes 10 ms of a holder, has 100 ms to spare and
 /// is worth something for 600 ms.
-fn decided(pool: &PoolKnowledge, id: &str, has_room: bool) -> Arrival {
-    let job = Arriving {
+fn decided(pool: &KnownPoolLoad, id: &str, has_room: bool) -> Arrival {
+    let job = ArrivingJob {
         id: &id.into(),
         urgency: 1,
         core_ms: 1_000,
         chain_ms: 100,
         objective_ms: 200,
         deadline_ms: 1_500,
-        has_room,
+        has_free_target: has_room,
     };
     decide(pool, &job)
 }
@@ -143,13 +143,13 @@
         accepted: 0,
         deadline,
         objective_ms: 200,
-        may_have_begun: false,
-        runs: false,
+        may_have_started: false,
+        is_running: false,
         passed_over,
-        has_room,
-        starting: false,
+        has_free_target: has_room,
+        host_is_starting: false,
     };
-    due(now, &job, [100].into_iter())
+    end_cause(now, &job, [100].into_iter())
 }
 
 case!(no_want_of_room_is_told_while_room_is_known, {
--- a/crates/dispatcher-core/tests/backlog.rs
+++ b/crates/dispatcher-core/tests/backlog.rs
@@ -7,7 +7,9 @@
     AttemptEnd, AttemptId, AttemptOutcome, HandedTask, HolderLoad, PoolLoad, Priority,
     PriorityClass, ReplyBody, Request,
 };
-use gannetridge_dispatcher_core::rules::backlog::{patience_ms, HANDED_MS, MOST_HANDED};
+use gannetridge_dispatcher_core::rules::backlog::{
+    near_target_wait_ms, MAX_HOLDER_WAIT_MS, MAX_QUEUED_PEER_TASKS,
+};
 use gannetridge_dispatcher_core::settings::WaitingAt;
 use gannetridge_dispatcher_core::{Answer, Event, Millis, Scheduling, Settings};
 use support::{case, ended, order, peer_info, step, target, Rig};
@@ -40,7 +42,7 @@
             urgency: 0,
             slack_ms: 500,
         },
-        latest_begin: rig.now + HANDED_MS,
+        latest_begin: rig.now + MAX_HOLDER_WAIT_MS,
     }
 }
 
@@ -103,7 +105,7 @@
 
 case!(nothing_starts_after_its_latest_begin, {
     let (mut rig, running) = full_holder();
-    rig.now += HANDED_MS + 1;
+    rig.now += MAX_HOLDER_WAIT_MS + 1;
     list_end(&mut rig, &running[1..], &running[0]);
     assert!(started(&mut rig).is_empty());
     assert_eq!(given_back(&mut rig), ["b.0.0.0"]);
@@ -139,7 +141,7 @@
     let tasks = (0..200).map(|i| handed(&rig, &format!("a.0.0.{i}"), 50));
     let tasks = tasks.collect();
     let (started, waiting) = hand_over(&mut rig, tasks);
-    assert_eq!((started.len(), waiting.len()), (120, MOST_HANDED));
+    assert_eq!((started.len(), waiting.len()), (120, MAX_QUEUED_PEER_TASKS));
 });
 
 case!(a_withdrawn_task_is_given_back_and_never_started, {
@@ -362,9 +364,9 @@
 case!(
     a_task_waits_near_its_data_no_longer_than_it_would_lose_far_from_it,
     {
-        assert_eq!(patience_ms(100, 1.5), 50);
-        assert_eq!(patience_ms(100, 1.0), 0);
-        assert_eq!(patience_ms(100, 0.5), 0);
-        assert_eq!(patience_ms(10_000, 1.5), HANDED_MS);
+        assert_eq!(near_target_wait_ms(100, 1.5), 50);
+        assert_eq!(near_target_wait_ms(100, 1.0), 0);
+        assert_eq!(near_target_wait_ms(100, 0.5), 0);
+        assert_eq!(near_target_wait_ms(10_000, 1.5), MAX_HOLDER_WAIT_MS);
     }
 );
--- a/crates/dispatcher-core/tests/congestion.rs
+++ b/crates/dispatcher-core/tests/congestion.rs
@@ -3,13 +3,13 @@
 mod support;
 
 use gannetridge_dispatcher_core::message::{HostInfo, Request};
-use gannetridge_dispatcher_core::rules::congestion::{OwnDelay, StartReplies};
+use gannetridge_dispatcher_core::rules::congestion::{LocalDelay, StartReplyTimes};
 use gannetridge_dispatcher_core::{Event, Millis};
 use support::{case, peer_info, step, target, Rig};
 
 /// Replies of several peers in windows of 100 ms, the quickest of which took `least_ms`.
-fn after_replies(least_ms: Millis, slow_peers_ms: Millis) -> OwnDelay {
-    let mut delay = OwnDelay::default();
+fn after_replies(least_ms: Millis, slow_peers_ms: Millis) -> LocalDelay {
+    let mut delay = LocalDelay::default();
     for now in (0..500).step_by(20) {
         delay.observe(now, slow_peers_ms);
         delay.observe(now, least_ms);
@@ -18,22 +18,22 @@
 }
 
 case!(a_slow_peer_is_no_delay_of_this_host, {
-    assert_eq!(after_replies(4, 300).ms(), 0);
-    assert_eq!(after_replies(4, 300).added_to_demands(), 0);
+    assert_eq!(after_replies(4, 300).delay_ms(), 0);
+    assert_eq!(after_replies(4, 300).extra_demand_interval_ms(), 0);
 });
 
 case!(what_delays_all_replies_is_this_hosts, {
     let delay = after_replies(60, 300);
-    assert_eq!(delay.ms(), 50);
-    assert_eq!(delay.added_to_demands(), 400);
-    assert_eq!(delay.added_to_waits(), 100);
+    assert_eq!(delay.delay_ms(), 50);
+    assert_eq!(delay.extra_demand_interval_ms(), 400);
+    assert_eq!(delay.extra_wait_ms(), 100);
 });
 
 case!(a_single_slow_reply_says_nothing, {
-    let mut delay = OwnDelay::default();
+    let mut delay = LocalDelay::default();
     delay.observe(0, 200);
     delay.observe(150, 200);
-    assert_eq!(delay.ms(), 0);
+    assert_eq!(delay.delay_ms(), 0);
 });
 
 case!(a_delay_is_over_with_the_next_quick_replies, {
@@ -41,7 +41,7 @@
     for now in (500..800).step_by(20) {
         delay.observe(now, 3);
     }
-    assert_eq!(delay.ms(), 0);
+    assert_eq!(delay.delay_ms(), 0);
 });
 
 /// Demands that a host whose replies take `took_ms` sends in a second to its five peers.
@@ -86,25 +86,25 @@
 });
 
 case!(starts_are_waited_for_as_slow_replies_take, {
-    let mut quick = StartReplies::default();
-    assert_eq!(quick.wait_ms(), 150, "nothing is known");
+    let mut quick = StartReplyTimes::default();
+    assert_eq!(quick.timeout_ms(), 150, "nothing is known");
     for _ in 0..400 {
-        quick.replied(3);
+        quick.record_reply(3);
     }
-    assert_eq!(quick.wait_ms(), 40);
+    assert_eq!(quick.timeout_ms(), 40);
     let mut narrow = quick;
-    narrow.replied(30);
-    assert_eq!(narrow.wait_ms(), 120, "one slow reply is enough");
+    narrow.record_reply(30);
+    assert_eq!(narrow.timeout_ms(), 120, "one slow reply is enough");
 });
 
 case!(one_lost_order_in_twenty_leaves_the_wait_short, {
-    let mut replies = StartReplies::default();
+    let mut replies = StartReplyTimes::default();
     for _ in 0..100 {
-        (0..19).for_each(|_| replies.replied(3));
-        replies.missed();
+        (0..19).for_each(|_| replies.record_reply(3));
+        replies.record_missing_reply();
     }
-    assert!(replies.wait_ms() <= 60, "{}", replies.wait_ms());
+    assert!(replies.timeout_ms() <= 60, "{}", replies.timeout_ms());
     // Where none replies in time, the wait may be too short.
-    (0..20).for_each(|_| replies.missed());
-    assert_eq!(replies.wait_ms(), 150);
+    (0..20).for_each(|_| replies.record_missing_reply());
+    assert_eq!(replies.timeout_ms(), 150);
 });
--- a/crates/dispatcher-core/tests/crashing_tasks.rs
+++ b/crates/dispatcher-core/tests/crashing_tasks.rs
@@ -7,7 +7,7 @@
 use gannetridge_dispatcher_core::event::{Born, ListedAttempt, ListedEnd, ListedOutcome};
 use gannetridge_dispatcher_core::message::{AttemptId, AttemptOutcome, CrashRecord, Request};
 use gannetridge_dispatcher_core::rules::crashes::{
-    least_remaining_ms, outcome, Crashes, Ran, TargetLoss, Verdict,
+    least_remaining_ms, outcome, CrashDecision, Crashes, RunState, TargetLoss,
 };
 use gannetridge_dispatcher_core::{
     Answer, Event, Millis, RequestId, Safeguards, SendFailure, Settings, TargetCall, TargetReply,
@@ -351,21 +351,21 @@
     ($($name:ident: $loss:ident, leaving $leaving:literal, ran $ran:ident, others $others:literal
         => $outcome:ident;)+) => {
         $(case!($name, {
-            let found = outcome(TargetLoss::$loss, $leaving, Ran::$ran, $others);
+            let found = outcome(TargetLoss::$loss, $leaving, RunState::$ran, $others);
             assert_eq!(found, AttemptOutcome::$outcome);
         });)+
     };
 }
 
 losses! {
-    silence_is_no_crash: Silent, leaving false, ran Surely, others 0 => Lost;
-    a_planned_end_is_no_crash: ProcessGone, leaving true, ran Surely, others 0 => Lost;
-    a_planned_restart_is_no_crash: Restarted, leaving true, ran Surely, others 1 => Lost;
-    a_crash_under_one: ProcessGone, leaving false, ran Surely, others 0 => CrashedAlone;
-    a_crash_under_several: Restarted, leaving false, ran Surely, others 1 => CrashedBesideOthers;
-    a_crash_as_a_start_is_sent: ProcessGone, leaving false, ran Perhaps, others 0
+    silence_is_no_crash: Silent, leaving false, ran Confirmed, others 0 => Lost;
+    a_planned_end_is_no_crash: ProcessGone, leaving true, ran Confirmed, others 0 => Lost;
+    a_planned_restart_is_no_crash: Restarted, leaving true, ran Confirmed, others 1 => Lost;
+    a_crash_under_one: ProcessGone, leaving false, ran Confirmed, others 0 => CrashedAlone;
+    a_crash_under_several: Restarted, leaving false, ran Confirmed, others 1 => CrashedBesideOthers;
+    a_crash_as_a_start_is_sent: ProcessGone, leaving false, ran Unconfirmed, others 0
         => PerhapsCrashed;
-    a_crash_after_a_stop: Restarted, leaving false, ran No, others 1 => Lost;
+    a_crash_after_a_stop: Restarted, leaving false, ran NotRunning, others 1 => Lost;
 }
 
 /// Declares tests, each with the numbers of targets that crashed under a task alone, beside others
@@ -379,7 +379,7 @@
                 beside_others: $beside_others,
                 perhaps: $perhaps,
             };
-            assert_eq!(crashes.verdict($since_ms), Verdict::$verdict);
+            assert_eq!(crashes.decision($since_ms), CrashDecision::$verdict);
         });)+
     };
 }
@@ -397,8 +397,8 @@
     alone_twice: 2, 0, 0, 0 => GivenUp;
     beside_others_three_times: 0, 3, 0, 0 => GivenUp;
     beside_others_twice_and_perhaps: 0, 2, 1, 0 => GivenUp;
-    once_and_perhaps_twice: 1, 0, 2, 0 => GivenUpInDoubt;
-    perhaps_three_times: 0, 0, 3, 0 => GivenUpInDoubt;
+    once_and_perhaps_twice: 1, 0, 2, 0 => GivenUpUnconfirmed;
+    perhaps_three_times: 0, 0, 3, 0 => GivenUpUnconfirmed;
 }
 
 /// Answers the renewals of one target with a listing of one of its incarnations.
--- a/crates/dispatcher-core/tests/failure_source.rs
+++ b/crates/dispatcher-core/tests/failure_source.rs
@@ -4,7 +4,7 @@
 
 use gannetridge_dispatcher_core::event::ListedOutcome;
 use gannetridge_dispatcher_core::message::AttemptId;
-use gannetridge_dispatcher_core::rules::failure_source::RecentEnds;
+use gannetridge_dispatcher_core::rules::failure_source::RecentOutcomes;
 use gannetridge_dispatcher_core::settings::RunningTimes;
 use gannetridge_dispatcher_core::{Scheduling, TargetCall, TargetReply};
 use gannetridge_wire::Name;
@@ -13,11 +13,11 @@
 /// How the kind's last attempts ended on targets, `f` for failed; the first one's failed now.
 fn blames_first(ends: &str) -> bool {
     let name = |place: usize| Name::from(format!("t{place}"));
-    let mut recent = RecentEnds::default();
+    let mut recent = RecentOutcomes::default();
     for (place, end) in ends.bytes().enumerate() {
         recent.record(100, &name(place), end == b'f');
     }
-    recent.blames(200, &name(0))
+    recent.counts_against(200, &name(0))
 }
 
 macro_rules! blamed {
@@ -35,11 +35,11 @@
 }
 
 case!(what_was_long_ago_says_nothing, {
-    let mut recent = RecentEnds::default();
+    let mut recent = RecentOutcomes::default();
     for place in 0..6 {
         recent.record(100, &Name::from(format!("t{place}")), true);
     }
-    assert!(recent.blames(6_000, &"t0".into()));
+    assert!(recent.counts_against(6_000, &"t0".into()));
 });
 
 /// How many of six targets take a task of another kind after a queue's tasks failed on all.
--- a/crates/dispatcher-core/tests/holder_choice.rs
+++ b/crates/dispatcher-core/tests/holder_choice.rs
@@ -7,7 +7,7 @@
 use gannetridge_dispatcher_core::message::{PoolLoad, WaitingWork};
 use gannetridge_dispatcher_core::rules::hall_load::{expected_wait_ms, HallLoad};
 use gannetridge_dispatcher_core::rules::holder_choice::{
-    choose, Begin, Distance, HolderView, Place, TaskView,
+    choose, Availability, Distance, ExpectedStart, HolderView, TaskView,
 };
 use gannetridge_dispatcher_core::Millis;
 use holders::{play, Load, Task, Way, RUNNING_MS};
@@ -19,45 +19,53 @@
     running_ms: 200,
     far_slowdown: 1.5,
 };
-const FREE: Place = Place::Free { spare_cpu: 8_000 };
+const FREE: Availability = Availability::Free { spare_cpu: 8_000 };
 
-fn wait(expected_ms: Millis) -> Place {
-    Place::Wait {
+fn wait(expected_ms: Millis) -> Availability {
+    Availability::Wait {
         spare_cpu: 8_000,
         expected_ms,
     }
 }
 
-fn holder(near: Place, far: Place) -> HolderView {
+fn holder(near: Availability, far: Availability) -> HolderView {
     HolderView {
         other_hall: false,
-        way_ms: 1,
+        transit_ms: 1,
         extra_request: true,
         stale_clock: false,
         near,
         far,
-        news_age_ms: 0,
+        update_age_ms: 0,
     }
 }
 
-fn elsewhere(near: Place, news_age_ms: Millis) -> HolderView {
+fn elsewhere(near: Availability, news_age_ms: Millis) -> HolderView {
     HolderView {
         other_hall: true,
-        way_ms: 5,
-        news_age_ms,
-        ..holder(near, Place::None)
+        transit_ms: 5,
+        update_age_ms: news_age_ms,
+        ..holder(near, Availability::None)
     }
 }
 
-fn chosen(holders: &[HolderView], latest_begin_ms: Millis) -> Option<(usize, Distance, Begin)> {
+fn chosen(
+    holders: &[HolderView],
+    latest_begin_ms: Millis,
+) -> Option<(usize, Distance, ExpectedStart)> {
     let choice = choose(&TASK, holders, latest_begin_ms);
-    choice.map(|choice| (choice.holder, choice.distance, choice.begin))
+    choice.map(|choice| (choice.holder, choice.distance, choice.start))
 }
 
 case!(a_task_waits_near_its_data_while_that_ends_sooner, {
-    let near = |ms| [holder(wait(ms), Place::None), holder(Place::None, FREE)];
-    let waits = Some((0, Distance::Near, Begin::AfterWait));
-    let spills = Some((1, Distance::Far, Begin::AtOnce));
+    let near = |ms| {
+        [
+            holder(wait(ms), Availability::None),
+            holder(Availability::None, FREE),
+        ]
+    };
+    let waits = Some((0, Distance::Near, ExpectedStart::AfterWait));
+    let spills = Some((1, Distance::Far, ExpectedStart::Immediate));
     assert_eq!(chosen(&near(90), 1_000), waits);
     assert_eq!(chosen(&near(110), 1_000), spills);
     assert_eq!(chosen(&near(90), 50), spills, "it can't wait so long");
@@ -65,7 +73,10 @@
 
 case!(another_hall_has_to_be_clearly_sooner, {
     let takes = |own, other| {
-        let holders = [holder(wait(own), Place::None), elsewhere(wait(other), 0)];
+        let holders = [
+            holder(wait(own), Availability::None),
+            elsewhere(wait(other), 0),
+        ];
         chosen(&holders, 1_000).expect("a holder").0
     };
     assert_eq!([takes(100, 100), takes(100, 70), takes(20, 0)], [0, 0, 0]);
@@ -73,8 +84,11 @@
 });
 
 case!(nothing_is_chosen_that_is_expected_to_begin_too_late, {
-    let holders = [holder(wait(120), wait(100)), elsewhere(Place::None, 0)];
-    let far = Some((0, Distance::Far, Begin::AfterWait));
+    let holders = [
+        holder(wait(120), wait(100)),
+        elsewhere(Availability::None, 0),
+    ];
+    let far = Some((0, Distance::Far, ExpectedStart::AfterWait));
     assert_eq!(chosen(&holders, 100), None);
     assert_eq!(chosen(&holders, 101), far);
 });
@@ -82,7 +96,7 @@
 case!(a_clock_to_ask_for_or_a_further_request_come_later, {
     let takes_if_one = |differs: fn(&mut HolderView)| {
         [0, 1].map(|at| {
-            let mut holders = [holder(FREE, Place::None); 2];
+            let mut holders = [holder(FREE, Availability::None); 2];
             differs(&mut holders[at]);
             chosen(&holders, 1_000).expect("a holder").0
         })
@@ -93,7 +107,10 @@
 
 case!(old_news_of_room_count_less_but_exclude_nothing, {
     let takes = |news_age_ms, latest_begin_ms| {
-        let holders = [holder(wait(50), Place::None), elsewhere(FREE, news_age_ms)];
+        let holders = [
+            holder(wait(50), Availability::None),
+            elsewhere(FREE, news_age_ms),
+        ];
         chosen(&holders, latest_begin_ms).expect("a holder").0
     };
     assert_eq!([takes(100, 1_000), takes(2_000, 1_000)], [1, 0]);
@@ -144,7 +161,7 @@
 fn keep(holders: &mut [HolderView], kept: impl Fn(usize, &HolderView) -> bool) {
     for (at, holder) in holders.iter_mut().enumerate() {
         if !kept(at, holder) {
-            (holder.near, holder.far) = (Place::None, Place::None);
+            (holder.near, holder.far) = (Availability::None, Availability::None);
         }
     }
 }
@@ -155,7 +172,7 @@
     ("rule", |_, _| {}),
     ("least of all", |_, holders| {
         for holder in holders {
-            (holder.other_hall, holder.news_age_ms) = (false, 0);
+            (holder.other_hall, holder.update_age_ms) = (false, 0);
         }
     }),
     ("two of all", |task, holders| {
@@ -167,7 +184,7 @@
         keep(holders, |_, holder| !holder.other_hall)
     }),
     ("near only", |_, holders| {
-        keep(holders, |_, holder| holder.far == Place::None)
+        keep(holders, |_, holder| holder.far == Availability::None)
     }),
 ];
 
--- a/crates/dispatcher-core/tests/running_times.rs
+++ b/crates/dispatcher-core/tests/running_times.rs
@@ -6,7 +6,7 @@
 use gannetridge_dispatcher_core::rules::running_time::{
     usable_estimate_ms, RunningTimes, TaskKind,
 };
-use gannetridge_dispatcher_core::rules::target_speed::{common, TargetSpeed};
+use gannetridge_dispatcher_core::rules::target_speed::{common_slowdown, TargetSpeed};
 use gannetridge_dispatcher_core::Millis;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -25,7 +25,7 @@
 /// Takes so many ends in.
 fn learn(times: &mut RunningTimes, rng: &mut Pcg64, wrong: f64, ends: u64) {
     for _ in 0..ends {
-        times.ended(times.last_end() + STEP_MS, draw(rng, wrong));
+        times.record_end(times.last_end() + STEP_MS, draw(rng, wrong));
     }
 }
 
@@ -52,7 +52,7 @@
 case!(an_unknown_kind_takes_its_estimate, {
     let times = RunningTimes::new(0);
     assert_near(times.median(), 1.0, 0.15);
-    assert_near(times.left(0.0), 1.1, 0.15);
+    assert_near(times.expected_remaining(0.0), 1.1, 0.15);
     // As long as an attempt may take where times aren't learned.
     assert_near(times.overrun_after_ms(200.0) as f64, 950.0, 0.3);
     assert_eq!(times.certainty(), 0.0);
@@ -77,13 +77,17 @@
 
 case!(a_task_far_past_its_estimate_is_a_long_one, {
     let (times, _) = known(1.0, 600);
-    assert_near(times.left(0.0), 1.2, 0.25);
-    assert!(times.left(3.0) > 3.0, "{}", times.left(3.0));
+    assert_near(times.expected_remaining(0.0), 1.2, 0.25);
     assert!(
-        times.left(6.0) < times.left(3.0),
+        times.expected_remaining(3.0) > 3.0,
+        "{}",
+        times.expected_remaining(3.0)
+    );
+    assert!(
+        times.expected_remaining(6.0) < times.expected_remaining(3.0),
         "but it has run for most of it"
     );
-    assert_near(times.left(100.0), 50.0, 0.01);
+    assert_near(times.expected_remaining(100.0), 50.0, 0.01);
 });
 
 case!(work_that_changes_is_learned, {
@@ -92,15 +96,15 @@
     assert_near(times.median(), 3.0, 0.25);
     // What is merely unlucky isn't a change.
     let (mut times, _) = known(1.0, 600);
-    (0..10).for_each(|_| times.ended(times.last_end() + STEP_MS, 7.0));
+    (0..10).for_each(|_| times.record_end(times.last_end() + STEP_MS, 7.0));
     assert_near(times.median(), 1.0, 0.2);
 });
 
 case!(a_kind_that_rests_is_known_by_its_last_ends, {
     let (mut times, mut rng) = known(3.0, 600);
-    times.ended(times.last_end() + 600_000, 3.0);
+    times.record_end(times.last_end() + 600_000, 3.0);
     assert_near(times.median(), 3.0, 0.25);
-    assert!((15.0..=18.0).contains(&times.known_ends()));
+    assert!((15.0..=18.0).contains(&times.sample_weight()));
     learn(&mut times, &mut rng, 1.0, 40);
     assert_near(times.median(), 1.0, 0.25);
 });
@@ -109,11 +113,11 @@
     let mut times = RunningTimes::new(Millis::MAX);
     let bad = [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300];
     for ratio in bad {
-        times.ended(0, ratio);
+        times.record_end(0, ratio);
         let values = [
             times.median(),
             times.tail(),
-            times.left(1.0),
+            times.expected_remaining(1.0),
             times.likelihood(ratio),
         ];
         assert!(
@@ -123,7 +127,7 @@
             "{values:?}"
         );
         let mut speed = TargetSpeed::default();
-        speed.ended(0, &times, ratio);
+        speed.record_end(0, &times, ratio);
         assert!(slowdown(&speed, Millis::MAX).is_finite());
     }
     let usable = [0, 1, 200, Millis::MAX].map(usable_estimate_ms);
@@ -141,7 +145,7 @@
         let mut now = times.last_end();
         let mut end = |slower: f64| {
             now += 100;
-            speed.ended(now, &times, slower * draw(&mut rng, 1.0));
+            speed.record_end(now, &times, slower * draw(&mut rng, 1.0));
             slowdown(&speed, now)
         };
         let seen: Vec<f64> = (0..100).map(|_| end(1.0)).collect();
@@ -156,7 +160,7 @@
 case!(an_unknown_kind_says_nothing_of_its_target, {
     let times = RunningTimes::new(0);
     let mut speed = TargetSpeed::default();
-    (1..10).for_each(|number| speed.ended(number * 50, &times, 6.5));
+    (1..10).for_each(|number| speed.record_end(number * 50, &times, 6.5));
     assert_near(slowdown(&speed, 450), 1.0, 0.2);
 });
 
@@ -165,7 +169,7 @@
     let (times, mut rng) = known(1.0, 600);
     let mut speed = TargetSpeed::default();
     for number in 1..=ends {
-        speed.ended(number * 50, &times, slower * draw(&mut rng, 1.0));
+        speed.record_end(number * 50, &times, slower * draw(&mut rng, 1.0));
     }
     (speed, ends * 50)
 }
@@ -175,7 +179,7 @@
     let (times, mut rng) = known(1.0, 600);
     for _ in 0..5 {
         now += 50;
-        speed.ended(now, &times, 6.5 * draw(&mut rng, 1.0));
+        speed.record_end(now, &times, 6.5 * draw(&mut rng, 1.0));
     }
     assert!(slowdown(&speed, now) > 5.0);
     assert!(slowdown(&speed, now + 15_000) < 1.5);
@@ -189,32 +193,40 @@
 
 case!(a_new_target_is_taken_to_be_like_others_of_its_kind, {
     let known: Vec<TargetSpeed> = (0..3).map(|_| after_ends(0.625, 400).0).collect();
-    assert_near(slowdown(&TargetSpeed::like(known.iter()), 0), 0.65, 0.1);
-    let few = TargetSpeed::like(known[..2].iter());
+    assert_near(
+        slowdown(&TargetSpeed::from_similar(known.iter()), 0),
+        0.65,
+        0.1,
+    );
+    let few = TargetSpeed::from_similar(known[..2].iter());
     assert_near(slowdown(&few, 0), 1.0, 0.15);
 });
 
 case!(what_is_common_to_all_targets_is_their_tasks, {
-    assert_eq!(common([3.0, 2.9, 9.0, 3.1, 3.0].into_iter()), 3.0);
-    assert_eq!(common([3.0, 3.0].into_iter()), 1.0, "two say nothing");
+    assert_eq!(common_slowdown([3.0, 2.9, 9.0, 3.1, 3.0].into_iter()), 3.0);
+    assert_eq!(
+        common_slowdown([3.0, 3.0].into_iter()),
+        1.0,
+        "two say nothing"
+    );
 });
 
 case!(a_pace_is_read_off_progress, {
-    let mut progress = Progress::begun(1_000);
+    let mut progress = Progress::started(1_000);
     assert_eq!(progress.pace_ms(), None);
     progress.observe(4, 1_040);
     assert_eq!(progress.pace_ms(), None, "too little to tell");
     progress.observe(20, 1_200);
     assert_eq!(
-        (progress.pace_ms(), progress.end_ms()),
+        (progress.pace_ms(), progress.expected_run_ms()),
         (Some(1_000.0), Some(1_000.0))
     );
     progress.observe(40, 1_400);
     progress.observe(50, 1_800);
     assert_eq!(progress.slowed_by(), Some(4.0));
     assert!(
-        !progress.is_stalled_beside(2_000, 100.0),
+        !progress.is_stalled_for_kind(2_000, 100.0),
         "it goes on at its own pace"
     );
-    assert!(progress.is_stalled_beside(2_300, 100.0));
+    assert!(progress.is_stalled_for_kind(2_300, 100.0));
 });
--- a/crates/dispatcher-core/tests/shares.rs
+++ b/crates/dispatcher-core/tests/shares.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use gannetridge_dispatcher_core::rules::shares::{Origin, Shares, Weights, LEAST_SHARE};
+use gannetridge_dispatcher_core::rules::shares::{Origin, Shares, Weights, MIN_SHARE};
 use gannetridge_wire::Name;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -47,12 +47,12 @@
             |(position, sender): &(usize, &Sender)| asked[*position] <= sender.demand * started;
         let waiting: Vec<(usize, &Sender)> = senders.iter().enumerate().filter(waits).collect();
         shares.advance(0, waiting.iter().map(|(_, sender)| sender.origin()));
-        let due = |(_, sender): &&(usize, &Sender)| shares.due(&sender.origin());
+        let due = |(_, sender): &&(usize, &Sender)| shares.virtual_start(&sender.origin());
         let first = waiting
             .iter()
             .min_by(|a, b| due(a).partial_cmp(&due(b)).unwrap());
         let (position, sender) = *first.expect("demands exceed the room");
-        shares.started(0, &sender.origin(), sender.core_ms);
+        shares.record_start(0, &sender.origin(), sender.core_ms);
         started += sender.core_ms as f64;
         asked[position] += sender.core_ms as f64;
         got[position] += sender.core_ms as f64;
@@ -159,14 +159,16 @@
 case!(what_used_most_is_remembered_among_many_names, {
     let flood = Sender::new("flood", "north", 1_000_000);
     let mut shares = Shares::default();
-    shares.started(0, &flood.origin(), flood.core_ms);
+    shares.record_start(0, &flood.origin(), flood.core_ms);
     for number in 0..1_000 {
         let other = Sender::new(&format!("q{number}"), "north", 100);
-        shares.started(0, &other.origin(), other.core_ms);
+        shares.record_start(0, &other.origin(), other.core_ms);
     }
-    assert_eq!(shares.due(&flood.origin()).queue, 1_000_000.0);
+    assert_eq!(shares.virtual_start(&flood.origin()).queue, 1_000_000.0);
     assert_eq!(
-        shares.due(&Sender::new("q0", "north", 1).origin()).queue,
+        shares
+            .virtual_start(&Sender::new("q0", "north", 1).origin())
+            .queue,
         0.0
     );
 });
@@ -179,14 +181,14 @@
         hall: &hall,
     };
     let mut shares = Shares::default();
-    assert!(!shares.is_below_least(2), "nothing was started");
-    shares.started(0, &origin(0), 10_000);
-    assert!(shares.is_below_least(2));
-    let share = 10_000.0 * LEAST_SHARE / (1.0 - LEAST_SHARE);
-    shares.started(0, &origin(2), share as u64 + 1);
-    assert!(!shares.is_below_least(2));
-    shares.started(1_000, &origin(0), 10_000);
-    assert!(shares.is_below_least(2));
+    assert!(!shares.is_below_min_share(2), "nothing was started");
+    shares.record_start(0, &origin(0), 10_000);
+    assert!(shares.is_below_min_share(2));
+    let share = 10_000.0 * MIN_SHARE / (1.0 - MIN_SHARE);
+    shares.record_start(0, &origin(2), share as u64 + 1);
+    assert!(!shares.is_below_min_share(2));
+    shares.record_start(1_000, &origin(0), 10_000);
+    assert!(shares.is_below_min_share(2));
 });
 
 case!(queues_that_are_gone_are_forgotten, {
@@ -195,8 +197,8 @@
     let size_after = |shares: &mut Shares, queues: u32| {
         for number in 0..queues {
             let gone = Sender::new(&format!("q{number}"), "north", 100);
-            shares.started(0, &gone.origin(), gone.core_ms);
-            shares.started(0, &stays.origin(), stays.core_ms);
+            shares.record_start(0, &gone.origin(), gone.core_ms);
+            shares.record_start(0, &stays.origin(), stays.core_ms);
             shares.advance(0, [stays.origin()].into_iter());
         }
         format!("{shares:?}").len()
--- a/crates/dispatcher-core/tests/store_news.rs
+++ b/crates/dispatcher-core/tests/store_news.rs
@@ -7,7 +7,7 @@
 use gannetridge_dispatcher_core::message::{
     DrainingNews, HostInfo, ListNews, PlatformNewsReply, ReplyBody, Request, StoreNewsReply,
 };
-use gannetridge_dispatcher_core::rules::store_readers::{readers, to_ask};
+use gannetridge_dispatcher_core::rules::store_readers::{reader_to_ask, readers};
 use gannetridge_dispatcher_core::{CallId, Event, Millis, StoreTable};
 use support::{case, peer_info, target, Rig};
 
@@ -142,14 +142,16 @@
 case!(all_readers_of_all_halls_are_asked_in_turn, {
     let hosts = two_halls();
     let own = host(5, "north", 100);
-    let asked: Vec<_> = (0..4).filter_map(|n| to_ask(&hosts, &own, n)).collect();
+    let asked: Vec<_> = (0..4)
+        .filter_map(|n| reader_to_ask(&hosts, &own, n))
+        .collect();
     let halls: Vec<bool> = asked.iter().map(|name| name.len() == 6).collect();
     assert_eq!(halls.iter().filter(|near| **near).count(), 2, "{asked:?}");
     let mut different = asked.clone();
     different.sort();
     different.dedup();
     assert_eq!(different.len(), 4, "{asked:?}");
-    assert_eq!(to_ask(&[], &own, 3), None);
+    assert_eq!(reader_to_ask(&[], &own, 3), None);
 });
 
 case!(a_host_that_is_told_does_not_read, {
--- a/crates/dispatcher-core/tests/support/holders.rs
+++ b/crates/dispatcher-core/tests/support/holders.rs
@@ -1,6 +1,8 @@
 //! Three halls of hosts, each with callers and targets, that hear each other rarely.
 
-use gannetridge_dispatcher_core::rules::holder_choice::{choose, HolderView, Place, TaskView};
+use gannetridge_dispatcher_core::rules::holder_choice::{
+    choose, Availability, HolderView, TaskView,
+};
 use gannetridge_dispatcher_core::Millis;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -169,23 +171,23 @@
     let expected_ms = ((1 - room) * RUNNING_MS as i64 / slots) as Millis;
     let spare_cpu = if room > 0 { room } else { slots } as u32;
     let place = match room {
-        _ if news_age_ms > SILENT_MS => Place::None,
-        1.. => Place::Free { spare_cpu },
-        _ => Place::Wait {
+        _ if news_age_ms > SILENT_MS => Availability::None,
+        1.. => Availability::Free { spare_cpu },
+        _ => Availability::Wait {
             spare_cpu,
             expected_ms,
         },
     };
     let is_near = !task.hot || at % HALL % 4 == 1;
     let (near, far) = if is_near {
-        (place, Place::None)
+        (place, Availability::None)
     } else {
-        (Place::None, place)
+        (Availability::None, place)
     };
     let other_hall = at / HALL != task.hall();
     HolderView {
         other_hall,
-        way_ms: if other_hall {
+        transit_ms: if other_hall {
             5
         } else {
             u64::from(at != task.owner)
@@ -194,6 +196,6 @@
         stale_clock: false,
         near,
         far,
-        news_age_ms,
+        update_age_ms: news_age_ms,
     }
 }
--- a/crates/dispatcher-core/tests/support/room.rs
+++ b/crates/dispatcher-core/tests/support/room.rs
@@ -6,11 +6,11 @@
 use std::ops::Range;
 
 use gannetridge_dispatcher_core::message::{PoolLoad, PriorityClass, WaitingWork};
-use gannetridge_dispatcher_core::rules::arrival::{decide, Arriving, PoolKnowledge};
-use gannetridge_dispatcher_core::rules::long_tasks::{LongTasks, TaskSize};
+use gannetridge_dispatcher_core::rules::arrival::{decide, ArrivingJob, KnownPoolLoad};
+use gannetridge_dispatcher_core::rules::long_tasks::{LongTaskLimit, TaskSize};
 use gannetridge_dispatcher_core::rules::priority::{priority, worth_ms, WaitingJob};
 use gannetridge_dispatcher_core::rules::shares::{Origin, Shares};
-use gannetridge_dispatcher_core::rules::waiting_order::{may_begin, Waiting};
+use gannetridge_dispatcher_core::rules::waiting_order::{may_start_job, Waiting};
 use gannetridge_dispatcher_core::Millis;
 use gannetridge_wire::Name;
 use rand::{Rng, SeedableRng};
@@ -153,15 +153,15 @@
     /// Whether a host takes it that knows what the holder tells.
     fn is_taken(&self, has_room: bool, load: &PoolLoad) -> bool {
         let listed_cpu = u64::from(load.capacity_cpu);
-        let pool = PoolKnowledge::new([(load, 0)].into_iter(), listed_cpu, 0);
-        let job = Arriving {
+        let pool = KnownPoolLoad::new([(load, 0)].into_iter(), listed_cpu, 0);
+        let job = ArrivingJob {
             id: &self.queue,
             urgency: self.load.urgency,
             core_ms: u64::from(self.load.tasks) * self.load.core_ms(),
             chain_ms: self.load.task_ms,
             objective_ms: self.load.objective_ms(),
             deadline_ms: Millis::MAX,
-            has_room,
+            has_free_target: has_room,
         };
         decide(&pool, &job).retry_after_ms.is_none()
     }
@@ -171,13 +171,13 @@
         let job = WaitingJob {
             age_ms: now - self.arrived,
             objective_ms: self.load.objective_ms(),
-            begun: self.begun(),
+            started: self.begun(),
             urgency: self.load.urgency,
         };
         let priority = priority(&job, self.load.task_ms);
         let core_ms = u64::from(self.load.tasks) * self.load.core_ms();
         let fits = || {
-            may_begin(
+            may_start_job(
                 core_ms,
                 begun_core_ms,
                 room_cpu,
@@ -208,7 +208,7 @@
     jobs: BTreeMap<usize, Job<'a>>,
     /// When tasks end, and their jobs.
     running: Vec<(Millis, usize, &'a Load)>,
-    long: LongTasks,
+    long: LongTaskLimit,
     outcome: Outcome,
 }
 
@@ -242,7 +242,7 @@
         self.outcome.of(load).jobs += 1.0;
         for _ in 0..load.tasks {
             let slack_ms = load.objective_ms() - load.task_ms;
-            self.long.arrived(now, &load.task(), slack_ms);
+            self.long.record_arrival(now, &load.task(), slack_ms);
         }
         let job = Job {
             load,
@@ -313,7 +313,7 @@
         }
         let (mut shares, mut long) = (self.ways.shares.clone(), self.long.clone());
         let waiting = self.waiting(now);
-        let counting = waiting.iter().filter(|(_, task)| task.counts());
+        let counting = waiting.iter().filter(|(_, task)| task.counts_for_shares());
         shares.advance(now, counting.map(|(_, task)| task.origin));
         let held = self.running.iter().map(|(.., load)| load.task());
         let able = waiting.iter().filter(|(id, _)| {
@@ -328,7 +328,7 @@
             return false;
         };
         let (id, load) = (*id, self.jobs[id].load);
-        shares.started(now, &task.origin, load.core_ms());
+        shares.record_start(now, &task.origin, load.core_ms());
         self.ways.shares = shares;
         self.outcome.of(load).slot_ms += load.task_ms as f64;
         self.jobs.get_mut(&id).unwrap().waiting -= 1;
@@ -351,7 +351,7 @@
         ways,
         jobs: BTreeMap::new(),
         running: Vec::new(),
-        long: LongTasks::default(),
+        long: LongTaskLimit::default(),
         outcome: Outcome::default(),
     };
     for now in 0..ms {
