--- a/crates/dispatcher-core/tests/waiting_order.rs
+++ b/crates/dispatcher-core/tests/waiting_order.rs
@@ -7,9 +7,11 @@
 use std::cmp::Ordering;
 
 use gannetridge_dispatcher_core::message::PriorityClass;
-use gannetridge_dispatcher_core::rules::long_tasks::{LongTasks, TaskSize};
-use gannetridge_dispatcher_core::rules::shares::{Origin, Shares, LEAST_SHARE};
-use gannetridge_dispatcher_core::rules::waiting_order::{compare, may_begin, Line, Waiting};
+use gannetridge_dispatcher_core::rules::long_tasks::{LongTaskLimit, TaskSize};
+use gannetridge_dispatcher_core::rules::shares::{Origin, Shares, MIN_SHARE};
+use gannetridge_dispatcher_core::rules::waiting_order::{
+    compare, may_start_job, Waiting, WaitingTasks,
+};
 use gannetridge_dispatcher_core::Millis;
 use gannetridge_wire::Name;
 use rand::{Rng, SeedableRng};
@@ -149,7 +151,7 @@
 case!(the_least_urgent_are_not_starved, {
     let loads = [quick(1.5), long(0.3)];
     let got = slots("long", None, &loads, &ways(compare));
-    assert!(got >= LEAST_SHARE * f64::from(SLOTS), "{got}");
+    assert!(got >= MIN_SHARE * f64::from(SLOTS), "{got}");
 });
 
 case!(jobs_that_begin_end_on_time, {
@@ -219,9 +221,9 @@
 
 /// Long tasks that may run on 80 cores some time after urgent ones took 24 of them for 4 s.
 fn long_tasks_after(ms: Millis) -> usize {
-    let mut long = LongTasks::default();
+    let mut long = LongTaskLimit::default();
     for now in (0..4_000).step_by(20) {
-        long.arrived(now, &task(0, 60), 96);
+        long.record_arrival(now, &task(0, 60), 96);
     }
     let mut running = Vec::new();
     while running.len() < 10
@@ -241,8 +243,8 @@
 });
 
 case!(one_long_task_may_always_run, {
-    let mut long = LongTasks::default();
-    long.arrived(0, &task(0, 60), 96);
+    let mut long = LongTaskLimit::default();
+    long.record_arrival(0, &task(0, 60), 96);
     assert!(long.may_start(0, &task(2, 900), 8_000, [].into_iter()));
 });
 
@@ -284,9 +286,9 @@
 
 case!(a_job_begins_only_where_all_of_it_can_start_in_time, {
     let eight_tasks = 8 * 480;
-    assert!(may_begin(eight_tasks, 0, 320_000, 12));
-    assert!(!may_begin(eight_tasks, 0, 320_000, 11));
-    assert!(!may_begin(eight_tasks, 400, 320_000, 12));
+    assert!(may_start_job(eight_tasks, 0, 320_000, 12));
+    assert!(!may_start_job(eight_tasks, 0, 320_000, 11));
+    assert!(!may_start_job(eight_tasks, 400, 320_000, 12));
 });
 
 case!(a_line_gives_tasks_in_the_order_that_compares_them, {
@@ -306,7 +308,7 @@
                 slack_ms: rng.random_range(-50..200),
             })
             .collect();
-        let mut line = Line::new(tasks.iter().copied());
+        let mut line = WaitingTasks::new(tasks.iter().copied());
         let mut left: Vec<usize> = (0..tasks.len()).collect();
         while let Some(taken) = line.take_first(&shares, |position| position % 5 != 0) {
             let able = left.iter().filter(|position| *position % 5 != 0);
@@ -314,7 +316,7 @@
             let order = compare(&tasks[taken], &tasks[*first.unwrap()], &shares);
             assert_eq!(order, Ordering::Equal);
             left.retain(|position| *position != taken);
-            shares.started(0, &tasks[taken].origin, 480);
+            shares.record_start(0, &tasks[taken].origin, 480);
             shares.advance(0, line.origins());
         }
         assert_eq!(left.len(), 8);
