--- a/crates/dispatcher-core/src/rules/admission.rs
+++ b/crates/dispatcher-core/src/rules/admission.rs
@@ -1,17 +1,14 @@
-//! Whether a request becomes a job.
+//! Decides whether a request becomes a job.
 //!
-//! **Rule.** What is already known not to be served is rejected at once: without a
-//! configuration, for an unknown queue, with a faulty or unsupported description,
-//! at a host that stops before the job's objective, at a host with
-//! [`MAX_JOBS`] jobs, and with a task that no known target could ever run.
-//! Everything else is accepted, and given up by [`super::giving_up`] when no
-//! target is found. A job that is known already is joined, not started again.
+//! **Rule.** A request that certainly can't be served is rejected at once: without a configuration,
+//! for an unknown queue, with an invalid or unsupported description, at a host that shuts down
+//! before the job's objective, at a host with [`MAX_JOBS`] jobs, and with a task that no known
+//! target could ever run. Every other request is accepted, and [`super::giving_up`] ends its job
+//! when no target is found. A request for a job that is already known joins it and doesn't start it
+//! again.
 //!
-//! **Inputs.** The configuration, the request, how long the host still serves (ms)
-//! and how many jobs it has. **Measured.** Stopping hosts that accept what they
-//! can still end, instead of nothing, refused 64 instead of 169 jobs of a played day (worth
-//! 0.702 to 0.736). **Gives up.** An overload is noticed by
-//! waiting, not on arrival.
+//! **Inputs.** The configuration, the request, how long the host still serves (ms) and how many
+//! jobs it has. **Trade-off.** An overload isn't detected here; see [`super::arrival`].
 
 use gannetridge_wire::Name;
 
@@ -22,36 +19,35 @@
 use crate::spec::check_id;
 use crate::Millis;
 
-/// The most jobs that one host has at a time: bounds its memory. Chosen, not
-/// measured.
+/// The most jobs that one host has at a time: bounds its memory.
 pub const MAX_JOBS: usize = 2_000;
-/// A stopping host ends its last jobs this long before its grace period is over,
-/// in ms, so that their answers leave. Chosen, not measured.
+/// How long before the end of its grace period a stopping host ends its last jobs, in ms: leaves
+/// time to send their answers.
 pub const ANSWER_MARGIN_MS: Millis = 500;
 
 /// A request that is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejected {
-    /// Why, for the log.
+    /// The reason that is logged.
     pub reason: Rejection,
-    /// What the caller is told.
+    /// The answer to the caller.
     pub answer: Answer,
 }
 
-/// A request for a known queue.
+/// A request whose queue is known.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedRequest<'a> {
-    /// The queue.
+    /// The queue that the request is for.
     pub queue: &'a Queue,
     /// The job's id; empty for a request about the queue itself.
     pub id: Name,
 }
 
-/// Finds the queue that a virtual host and a path lead to.
+/// Resolves a virtual host and a path to a queue and a job id.
 ///
 /// # Errors
 ///
-/// Fails without a configuration, and if there is no such queue.
+/// Returns a rejection without a configuration, and if there is no such queue.
 pub fn resolve<'a>(
     configuration: Option<&'a Configuration>,
     host: &str,
@@ -69,27 +65,27 @@
     Ok(ResolvedRequest { queue, id })
 }
 
-/// Checks a submitted job as far as neither this host nor targets matter.
+/// Validates a submitted job, without regard to the state of this host and of targets.
 ///
 /// # Errors
 ///
-/// Fails on the first fault.
+/// Returns a rejection for the first fault that is found.
 pub fn check<'a>(
     configuration: Option<&'a Configuration>,
     submit: &Submit,
 ) -> Result<ResolvedRequest<'a>, Rejected> {
-    let addressed = resolve(configuration, &submit.host, &submit.path)?;
-    check_id(&addressed.id)
+    let resolved = resolve(configuration, &submit.host, &submit.path)?;
+    check_id(&resolved.id)
         .and_then(|()| submit.spec.check())
         .map_err(|error| Rejected {
             reason: Rejection::BadJob,
             answer: Answer::Bad(error),
         })?;
-    Ok(addressed)
+    Ok(resolved)
 }
 
-/// Returns whether a host that began to stop at `stopping_since` ends before a job
-/// with this objective does.
+/// Returns whether a host that has been stopping since `stopping_since` stops before a job with
+/// this objective ends.
 #[must_use]
 pub fn stops_before(
     now: Millis,
--- a/crates/dispatcher-core/src/rules/arrival.rs
+++ b/crates/dispatcher-core/src/rules/arrival.rs
@@ -1,23 +1,22 @@
-//! What a host tells a caller on arrival of its job, from the wait that it knows.
+//! Decides on arrival of a job whether it is accepted, by the wait that is known.
 //!
-//! **Rule.** The wait is the time in which the pool's targets do the work that goes before
-//! the job ([`super::waiting_order`]) and the job itself. A job that can be on time is taken.
-//! One that will be late is taken if it could wait for all that waits and its answer would
-//! still be worth something: then it takes no room from a job on time. All others are refused
-//! at once as not run; they may come back when the wait is short enough for them, spread by
-//! their ids over as long again.
+//! **Rule.** The wait is the time in which the pool's targets do the work that goes before the job
+//! ([`super::waiting_order`]) and the job itself. A job that can be on time is accepted. One that
+//! will be late is accepted if its answer is still worth something after waiting for all waiting
+//! work: then it takes no capacity from a job on time. All others are refused at once as not run,
+//! with a time to retry at which the wait is short enough; these times are spread by the job ids
+//! over as long again.
 //!
-//! Nothing is refused while a target that could run it has room, as this host knows, nor where
-//! too little is known: less than `MIN_KNOWN_SHARE` of the pool's processor time was heard of
-//! lately. A host that has just started knows nothing, so its jobs wait for the first targets.
+//! No job is refused while a target that could run it is known to have free capacity, nor while too
+//! little is known: recent updates have to cover `MIN_KNOWN_SHARE` of the pool's processor time. A
+//! host that has just started knows nothing, so its jobs wait for the first targets.
 //!
-//! **Inputs.** Loads of hosts' targets ([`PoolLoad`]) with their age in ms, at which each
-//! may have done what waited; processor time in thousandths of a core, work in core-ms, the
-//! job's times in ms. **Reason.** A caller that is refused at once can still go elsewhere or
-//! do without; one that waits in vain loses that time, and takes the room of others if it is
-//! started after all. Whatever isn't known counts in favour of the job: a refusal in error is
-//! worse than a wait. **Gives up.** More urgent jobs that arrive later aren't foreseen: some
-//! that are taken are given up by [`super::giving_up`]. The pool counts as one target.
+//! **Inputs.** Loads of hosts' targets ([`PoolLoad`]) with their age in ms, during which the
+//! targets may have done waiting work; processor time in thousandths of a core, work in core-ms,
+//! the job's times in ms. **Reason.** A caller that is refused at once can still go elsewhere; one
+//! that waits in vain loses that time. Whatever isn't known counts in favour of the job, since a
+//! wrong refusal is worse than a wait. **Trade-off.** More urgent jobs that arrive later aren't
+//! predicted, so [`super::giving_up`] ends some accepted jobs. The pool counts as one target.
 
 use std::collections::BTreeMap;
 
@@ -30,30 +29,29 @@
 
 use super::priority::worth_ms;
 
-/// The part of a pool's processor time that must be known of for a refusal: then the rest
-/// can't hold as much room again.
+/// The share of a pool's processor time that has to be known for a refusal.
 const MIN_KNOWN_SHARE: f64 = 0.5;
-/// The least and the longest time after which a refused caller may come back, in ms: the load
-/// of other hosts is known no sooner, and not foreseen for longer.
+/// The bounds of the time after which a refused caller may retry, in ms: updates on other hosts'
+/// load don't arrive sooner, and the wait can't be predicted for longer.
 const RETRY_AFTER_MS: (Millis, Millis) = (200, 3_000);
 
-/// What is known of the targets of one pool.
+/// The known load of the targets of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct KnownPoolLoad {
-    /// Thousandths of a core that the targets have that were heard of lately.
+    /// Thousandths of a core of the targets with a recent update.
     known_cpu: u64,
     used_cpu: u64,
-    /// Thousandths of a core that all targets of the list have.
+    /// Thousandths of a core of all listed targets.
     listed_cpu: u64,
-    /// Work that waits, in core-ms, by urgency.
+    /// Waiting work in core-ms, by urgency.
     waiting: BTreeMap<u8, u64>,
-    /// The age of the oldest load that counts, in ms.
+    /// The age of the oldest load included, in ms.
     age_ms: Option<Millis>,
 }
 
 impl KnownPoolLoad {
-    /// Sums up loads of the pool's holders, each with its age; those older than `fresh_ms`
-    /// don't count. `listed_cpu` thousandths of a core are in the list of targets.
+    /// Sums up the loads of the pool's holders, each with its age; those older than `fresh_ms` are
+    /// left out. `listed_cpu` is the capacity of all listed targets in thousandths of a core.
     #[must_use]
     pub fn new<'a>(
         loads: impl Iterator<Item = (&'a PoolLoad, Millis)>,
@@ -75,7 +73,8 @@
         self.known_cpu += capacity_cpu;
         self.used_cpu += u64::from(load.used_cpu);
         self.age_ms = Some(self.age_ms.unwrap_or(0).max(age_ms));
-        // The most urgent comes first, and may have been done since.
+        // `waiting` is sorted by urgency, and the most urgent work may have been done since the
+        // update.
         let mut done = capacity_cpu * age_ms / 1_000;
         for work in &load.waiting {
             let left = work.core_ms.saturating_sub(done);
@@ -84,37 +83,37 @@
         }
     }
 
-    /// Returns whether enough is known for a refusal.
+    /// Returns whether enough is known to refuse a job.
     #[must_use]
     pub fn is_sufficient(&self) -> bool {
         let needed = MIN_KNOWN_SHARE * self.listed_cpu as f64;
         self.known_cpu > 0 && self.known_cpu as f64 >= needed
     }
 
-    /// Returns the thousandths of a core that were heard of and aren't in use.
+    /// Returns the known thousandths of a core that aren't in use.
     #[must_use]
     pub fn free_cpu(&self) -> u64 {
         self.known_cpu.saturating_sub(self.used_cpu)
     }
 
-    /// Returns the thousandths of a core that were heard of.
+    /// Returns the known thousandths of a core.
     #[must_use]
     pub fn known_cpu(&self) -> u64 {
         self.known_cpu
     }
 
-    /// Returns the age of the oldest load that counts, in ms.
+    /// Returns the age of the oldest load included, in ms.
     #[must_use]
     pub fn age_ms(&self) -> Option<Millis> {
         self.age_ms
     }
 
-    /// Returns the time in which the work of an urgency and of more urgent ones is done,
-    /// and `more_core_ms` besides; in ms.
+    /// Returns the time in ms in which the waiting work of this and more urgent urgencies, and
+    /// `more_core_ms` besides, is done.
     ///
     /// # Panics
     ///
-    /// Panics if nothing is known.
+    /// Panics if no capacity is known.
     #[must_use]
     pub fn wait_ms(&self, urgency: u8, more_core_ms: u64) -> Millis {
         let before: u64 = self.waiting.range(..=urgency).map(|(_, work)| work).sum();
@@ -122,33 +121,34 @@
     }
 }
 
-/// A job that arrives; times in ms.
+/// A job that has just arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivingJob<'a> {
-    /// Its id.
+    /// The job's id; spreads the times to retry.
     pub id: &'a Name,
-    /// Its queue's urgency; 0 is the most urgent.
+    /// The urgency of its queue; 0 is the most urgent.
     pub urgency: u8,
-    /// What all of its tasks take, in core-ms.
+    /// The work of all its tasks, in core-ms.
     pub core_ms: u64,
-    /// The estimate of its longest chain of tasks.
+    /// The estimated running time of its longest chain of tasks, in ms.
     pub chain_ms: Millis,
-    /// Its latency objective.
+    /// Its latency objective, in ms from its arrival.
     pub objective_ms: Millis,
-    /// How long its caller waits.
+    /// How long its caller waits for the answer, in ms.
     pub deadline_ms: Millis,
-    /// Whether a target that could run it has room, here or at a peer that was heard lately.
+    /// Whether a target that could run it has free capacity, here or at a peer with a recent
+    /// update.
     pub has_free_target: bool,
 }
 
-/// What becomes of a job on its arrival.
+/// The decision on a job that has just arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// What is expected.
+    /// Whether the job is expected to be on time, or is refused.
     pub forecast: Forecast,
-    /// How long it would wait for its last task to start, in ms, if that is known.
+    /// How long it would wait for its last task to start, in ms, if known.
     pub wait_ms: Option<Millis>,
-    /// When its caller may come back, in ms, if it is refused.
+    /// After how many ms its caller may retry; set only if the job is refused.
     pub retry_after_ms: Option<Millis>,
 }
 
@@ -162,7 +162,7 @@
     }
 }
 
-/// Decides whether a job is taken.
+/// Decides whether a job is accepted.
 #[must_use]
 pub fn decide(pool: &KnownPoolLoad, job: &ArrivingJob<'_>) -> Arrival {
     if !pool.is_sufficient() {
@@ -173,10 +173,10 @@
     if job.has_free_target || wait_ms <= slack_ms {
         return Arrival::accepted(Forecast::OnTime, Some(wait_ms));
     }
-    let behind_all_ms = pool.wait_ms(u8::MAX, job.core_ms);
+    let wait_behind_all_ms = pool.wait_ms(u8::MAX, job.core_ms);
     let worth_ms = worth_ms(job.objective_ms).min(job.deadline_ms);
-    if behind_all_ms + job.chain_ms <= worth_ms {
-        return Arrival::accepted(Forecast::Late, Some(behind_all_ms));
+    if wait_behind_all_ms + job.chain_ms <= worth_ms {
+        return Arrival::accepted(Forecast::Late, Some(wait_behind_all_ms));
     }
     Arrival {
         forecast: Forecast::Refused,
@@ -185,8 +185,8 @@
     }
 }
 
-/// Returns when the caller of a job may come back for which there is room in `until_ms`: other
-/// callers of that time come at other moments.
+/// Returns after how many ms the caller of a job may retry that could be on time in `until_ms`.
+/// Spread by the job's id, so that callers don't return at the same moment.
 fn retry_after_ms(until_ms: Millis, id: &str) -> Millis {
     let (least, longest) = RETRY_AFTER_MS;
     let first = until_ms.clamp(least, longest / 2);
--- a/crates/dispatcher-core/src/rules/assignment.rs
+++ b/crates/dispatcher-core/src/rules/assignment.rs
@@ -1,16 +1,12 @@
-//! Which host should hold which target.
+//! Assigns targets to the hosts that should hold them.
 //!
-//! **Rule.** Weighted rendezvous hashing: over the live hosts of the target's
-//! hall, over all where the hall has none, in proportion to their processor
-//! time. Every host reckons the same without messages, and a host that comes or
-//! goes moves only its own targets.
+//! **Rule.** Weighted rendezvous hashing: over the live hosts of the target's hall, or over all
+//! hosts where the hall has none, in proportion to their processor time. Every host computes the
+//! same assignment without messages, and a host that joins or leaves moves only its own targets.
 //!
-//! **Inputs.** The target's id and hall; the hosts that stay, with their weights
-//! in thousandths of a core. **Measured.** With 43 hosts
-//! of 0.12 and 0.5 core without weights the small hosts were full and the large ones idle;
-//! with them and fewer repeated demands 0.76 instead of 0.41 of the jobs of a burst met
-//! their objective. **Gives up.**
-//! Hosts that see different hosts assign differently for a while: see
+//! **Inputs.** The target's id and hall; the hosts that stay, with their weights in thousandths of
+//! a core. **Reason.** Without weights, small hosts would be overloaded while large ones are idle.
+//! **Trade-off.** Hosts that know different hosts assign differently for a while; see
 //! [`crate::rules::contention`].
 
 use std::collections::BTreeMap;
@@ -20,13 +16,13 @@
 
 use crate::message::HostInfo;
 
-/// Picks the host for a target, or none where there are no hosts.
+/// Returns the host that should hold a target, or none if `hosts` is empty.
 #[must_use]
 pub fn holder<'a>(target: &str, hall: &str, hosts: &'a [HostInfo]) -> Option<&'a HostInfo> {
     Candidates::new(hosts).holder(target, hall)
 }
 
-/// The hosts that may hold targets, by hall.
+/// The hosts that may hold targets, indexed by hall.
 #[derive(Debug)]
 pub struct Candidates<'a> {
     halls: BTreeMap<&'a str, Vec<&'a HostInfo>>,
@@ -34,7 +30,7 @@
 }
 
 impl<'a> Candidates<'a> {
-    /// Sorts hosts by their halls.
+    /// Groups hosts by hall.
     #[must_use]
     pub fn new(hosts: &'a [HostInfo]) -> Self {
         let mut halls: BTreeMap<&str, Vec<&HostInfo>> = BTreeMap::new();
@@ -44,16 +40,15 @@
         Self { halls, all: hosts }
     }
 
-    /// Returns whether a host may hold targets of a hall at all: those of other halls only
-    /// where these have no hosts. Asked before any score is reckoned: of five halls' targets
-    /// four need none.
+    /// Returns whether a host may hold targets of a hall at all: those of another hall only if that
+    /// has no hosts. Computes no scores, so it is the cheap check to make first.
     #[must_use]
     pub fn may_hold(&self, host: &str, hall: &str) -> bool {
-        let near = self.halls.get(hall);
-        near.is_none_or(|near| near.iter().any(|candidate| &*candidate.name == host))
+        let in_hall = self.halls.get(hall);
+        in_hall.is_none_or(|in_hall| in_hall.iter().any(|candidate| &*candidate.name == host))
     }
 
-    /// Returns whether a host holds a target.
+    /// Returns whether a target is assigned to a host.
     #[must_use]
     pub fn holds(&self, host: &str, target: &str, hall: &str) -> bool {
         let holder = self.holder(target, hall);
@@ -62,7 +57,7 @@
 
     fn holder(&self, target: &str, hall: &str) -> Option<&'a HostInfo> {
         match self.halls.get(hall) {
-            Some(near) => best(target, near.iter().copied()),
+            Some(in_hall) => best(target, in_hall.iter().copied()),
             None => best(target, self.all.iter()),
         }
     }
@@ -75,17 +70,17 @@
     })
 }
 
-/// Returns a target's score at a host: an exponential variable whose rate is
-/// one over the host's weight, so that the highest is a host's with a chance
-/// in proportion to its weight.
+/// Returns a target's score at a host: an exponential variable whose rate is the inverse of the
+/// host's weight, so that a host has the highest score with a probability in proportion to its
+/// weight.
 fn score(target: &str, host: &HostInfo) -> f64 {
-    let part = uniform(target, &host.name);
-    -f64::from(host.processor_weight.max(1)) / part.ln()
+    let variate = uniform(target, &host.name);
+    -f64::from(host.processor_weight.max(1)) / variate.ln()
 }
 
-/// Returns a number between 0 and 1, both excluded, for a target at a host.
+/// Returns a hash of a target and a host as a number between 0 and 1, both excluded.
 fn uniform(target: &str, host: &Name) -> f64 {
-    /// Bits of a double's mantissa.
+    /// Bits of the mantissa of an `f64`.
     const BITS: u32 = 53;
     let hash = xxh3_64(format!("{target}\n{host}").as_bytes());
     ((hash >> (u64::BITS - BITS)) as f64 + 0.5) / (1u64 << BITS) as f64
--- a/crates/dispatcher-core/src/rules/capacity.rs
+++ b/crates/dispatcher-core/src/rules/capacity.rs
@@ -1,42 +1,43 @@
-//! How much a target has, where its entry in the list and its listings tell it.
+//! Determines a target's capacity from its list entry and its status replies.
 //!
-//! **Rule.** A target's capacity may shrink and grow while it runs, and both its entry and its
-//! listings may tell it. The newer of the two holds. No clock orders them, so:
+//! **Rule.** A target's capacity may shrink and grow while it runs, and both its entry in the
+//! target list and its listings (replies that list what runs there) may report it. The newer of the
+//! two applies. No clock orders them, so:
 //!
-//! - a listing is first-hand: what it tells holds, until the entry tells another capacity than
-//!   it did before;
-//! - from then on the less of both holds, of each resource, until a listing that was asked for
-//!   after that entry came tells which is right. It is asked for at once.
+//! - a listing comes from the target itself: what it reports applies until the entry reports
+//!   another capacity than before;
+//! - from then on the lesser of both applies, for each resource, until a listing requested after
+//!   that entry arrived settles which is right. That listing is requested at once.
 //!
-//! Such a listing that tells none leaves the entry in force. A capacity that can't be read
-//! tells none. Another life of the target, or another holder, begins with the entry.
+//! If such a listing reports none, the entry applies. A capacity that can't be parsed counts as not
+//! reported. For another incarnation of the target, or another holder, the entry applies first.
 //!
-//! A task that fits what the target had at its most could run there again: its job isn't
+//! A task that fits the largest capacity reported so far could run there again, so its job isn't
 //! refused as too large.
 //!
-//! **Inputs.** Resources as told, and when, in ms of this host's clock. An entry may have been
-//! written before the last listing and come seconds after it, where the store is slow or other
-//! hosts tell of it: taken as the newer it would allow starts beyond a capacity that has shrunk
-//! since. **Gives up.** Growth that the entry tells first is used one renewal later.
+//! **Inputs.** Reported resources, and when, in ms of this host's clock. **Reason.** An entry may
+//! have been written before the last listing and arrive seconds after it, where the store is slow
+//! or other hosts relay it: taken as the newer, it would allow starts beyond a capacity that has
+//! shrunk since. **Trade-off.** Growth that the entry reports first is used one renewal later.
 
 use crate::spec::Resources;
 use crate::Millis;
 
-/// What a target has told of its capacity.
+/// The capacity that a target has reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedCapacity {
-    /// What its entry told last.
+    /// The capacity of its latest entry.
     entry: Resources,
-    /// What its listing told last, if any did.
+    /// The capacity of its latest listing, if that reported one.
     listed: Option<Resources>,
-    /// When the entry changed since, if it did.
+    /// When the entry changed, until a later listing settles what applies.
     entry_changed: Option<Millis>,
-    /// The most of each resource that was told.
+    /// The most of each resource reported so far, under the same incarnation and holder.
     maximum: Resources,
 }
 
 impl ReportedCapacity {
-    /// Knows what the target's entry tells.
+    /// Creates a capacity that only the target's entry has reported.
     #[must_use]
     pub fn new(entry: Resources) -> Self {
         Self {
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Records what the target's entry tells; returns whether a listing is needed to know
-    /// what holds.
+    /// Records the capacity of the target's entry; returns whether a listing has to be requested to
+    /// settle what applies.
     pub fn record_entry(&mut self, now: Millis, capacity: Resources) -> bool {
         if capacity == self.entry {
             return false;
@@ -59,13 +60,13 @@
         self.listed.is_some()
     }
 
-    /// Records what a listing tells that was asked for at `asked`, if it tells any.
-    pub fn record_listing(&mut self, asked: Millis, capacity: Option<Resources>) {
+    /// Records the capacity of a listing that was requested at `requested`, if it reports one.
+    pub fn record_listing(&mut self, requested: Millis, capacity: Option<Resources>) {
         if let Some(capacity) = capacity {
             self.maximum = self.maximum.most(&capacity);
         }
-        // What came in the same millisecond may have come after.
-        let entry_is_older = self.entry_changed.is_none_or(|at| at < asked);
+        // An entry of the same millisecond may have arrived after the request.
+        let entry_is_older = self.entry_changed.is_none_or(|at| at < requested);
         let entry_is_newest = entry_is_older && self.entry_changed.is_some();
         if capacity.is_some() || entry_is_newest {
             self.listed = capacity;
@@ -75,18 +76,19 @@
         }
     }
 
-    /// Forgets the listings: those that follow are another life's, or another holder's.
+    /// Discards all but the capacity of the entry, when the incarnation of the target or its holder
+    /// changes.
     pub fn discard_listings(&mut self) {
         *self = Self::new(self.entry);
     }
 
-    /// Returns the most of each resource that it had: it may have it again.
+    /// Returns the most of each resource reported so far: the target may have it again.
     #[must_use]
     pub fn maximum(&self) -> Resources {
         self.maximum
     }
 
-    /// Returns the capacity that holds.
+    /// Returns the capacity that applies.
     #[must_use]
     pub fn in_force(&self) -> Resources {
         match (self.listed, self.entry_changed) {
--- a/crates/dispatcher-core/src/rules/congestion.rs
+++ b/crates/dispatcher-core/src/rules/congestion.rs
@@ -1,38 +1,35 @@
-//! How full this host's own link is, and what it says and waits for then.
+//! Measures the congestion of this host's own link, and adapts message rates and timeouts to it.
 //!
-//! **Rule.** The least time that any reply of a peer took in the last `WINDOW_MS` is this
-//! host's own delay: a peer that is slow delays its own replies only, a full link or a lack
-//! of processor time here delays all of them. As far as the delay is more than
-//! `ORDINARY_DELAY_MS`, demands are repeated more rarely, and replies and reservations are waited
-//! for longer: an overload leads to fewer messages, and isn't taken for the silence of targets.
+//! **Rule.** The shortest time that any reply of a peer took in the last `WINDOW_MS` is this host's
+//! own delay: a slow peer delays its own replies only, while a full link or a lack of processor
+//! time here delays all of them. As far as the delay exceeds `ORDINARY_DELAY_MS`, demands are
+//! repeated less often, and timeouts of replies and reservations are longer: an overload leads to
+//! fewer messages, and isn't taken for the silence of targets.
 //!
-//! **Inputs.** Times in ms from requests to peers until their replies; of a request without
-//! reply, the time that was waited. **Measured**, played days on links of 2 Mbit/s, no processor
-//! time charged, one play each: -0.088 to 0.088, -0.311 to -0.164 and -0.047 to 0.081 worth; on links
-//! of 25 Mbit/s and more no difference. **Gives up.** Tasks at a
-//! host whose link is full hear of free resources later; a target that falls silent then is
-//! given up later.
+//! **Inputs.** Times in ms from requests to peers until their replies; for a request without reply,
+//! its timeout. **Trade-off.** Tasks at a host whose link is full learn of free resources later,
+//! and a target that falls silent then is detected later.
 
 use crate::Millis;
 
-/// The least delay is taken of windows of this length, in ms: long enough for several replies
-/// at each host. Chosen, not measured.
+/// The length of the windows over which the shortest delay is taken, in ms: long enough for several
+/// replies at each host.
 const WINDOW_MS: Millis = 100;
-/// A window with fewer replies than this says nothing. Chosen, not measured.
+/// A window with fewer replies is ignored.
 const MIN_REPLIES: u32 = 3;
-/// What the quickest reply may take on a link that isn't full, in ms: a round trip between
-/// halls, and the processors of two busy hosts. Chosen, not measured.
+/// The time that the quickest reply may take on a link that isn't full, in ms: a round trip between
+/// halls, and the processing at two busy hosts.
 const ORDINARY_DELAY_MS: Millis = 10;
-/// Demands are repeated later by this many times the delay. Chosen, not measured.
+/// The delay is multiplied by this for the added time between repeated demands.
 const REPEAT_FACTOR: Millis = 8;
-/// Replies and reservations are waited for longer by this many times the delay: one for the
-/// request and one for the reply. Chosen, not measured.
+/// The delay is multiplied by this for the added timeout of replies and reservations: once for the
+/// request and once for the reply.
 const WAIT_FACTOR: Millis = 2;
 
-/// This host's own delay, as the replies of its peers show it.
+/// The delay that this host adds to all replies of its peers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalDelay {
-    /// Of the last window that told of it, in ms, beyond what is ordinary.
+    /// The excess over the ordinary delay in the last window with enough replies, in ms.
     delay_ms: Millis,
     window_started: Millis,
     least_ms: Option<Millis>,
@@ -40,7 +37,7 @@
 }
 
 impl LocalDelay {
-    /// Records that a reply took so long, or didn't come within it.
+    /// Records that a reply arrived after `took_ms`, or timed out after it.
     pub fn observe(&mut self, now: Millis, took_ms: Millis) {
         if now >= self.window_started + WINDOW_MS {
             self.end_window(now);
@@ -59,42 +56,38 @@
         self.replies = 0;
     }
 
-    /// Returns the delay beyond what is ordinary, in ms.
+    /// Returns the excess over the ordinary delay, in ms.
     #[must_use]
     pub fn delay_ms(&self) -> Millis {
         self.delay_ms
     }
 
-    /// Returns what is added to the time between two demands, in ms.
+    /// Returns the time to add to the interval between two demands, in ms.
     #[must_use]
     pub fn extra_demand_interval_ms(&self) -> Millis {
         REPEAT_FACTOR * self.delay_ms
     }
 
-    /// Returns what is added to the time for which replies and reservations are waited for,
-    /// in ms.
+    /// Returns the time to add to the timeouts of replies and reservations, in ms.
     #[must_use]
     pub fn extra_wait_ms(&self) -> Millis {
         WAIT_FACTOR * self.delay_ms
     }
 }
 
-/// The reply to a start is waited for at least so long, in ms, and at most: after that the
-/// attempt may run or not, and is stopped, so that its task can be tried elsewhere. Each day
-/// with 5 % of the orders carried out late loses by the wait: with 40 ms instead of 150 its worth
-/// rose from 0.837 to 0.879 (4 seeds in pairs). With always 40 ms narrow links lose as much:
-/// 0.360 to 0.254 on a played day with 2 Mbit/s.
+/// The bounds of the timeout of a start's reply, in ms. After the timeout the attempt may run or
+/// not, and is stopped so that its task can be retried elsewhere. A short timeout saves time where
+/// replies are lost, and loses attempts on slow links.
 const START_TIMEOUT_RANGE_MS: (f64, f64) = (40.0, 150.0);
-/// A start is waited for so many times as long as slow replies took. Chosen, not measured.
+/// The timeout of a start is this many times the slow reply time.
 const START_TIMEOUT_FACTOR: f64 = 4.0;
-/// With each quicker reply what counts as slow comes down by this part of the difference.
-/// Chosen, not measured.
+/// With each quicker reply the slow reply time falls by this share of the difference.
 const SLOW_DECAY: f64 = 0.02;
-/// With each start without reply what counts as slow grows by this factor: the wait may be
-/// too short. One lost order in 20 doesn't make it grow on the whole. Chosen, not measured.
+/// With each start without reply the slow reply time grows by this factor, since the timeout may be
+/// too short. One lost reply in 20 is balanced by [`SLOW_DECAY`].
 const MISSED_FACTOR: f64 = 1.25;
 
-/// How long replies to starts take, the slower ones of late.
+/// Tracks the slower reply times of starts, to derive their timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct StartReplyTimes {
     slow_ms: f64,
@@ -109,7 +102,7 @@
 }
 
 impl StartReplyTimes {
-    /// Records a reply that took so long.
+    /// Records a reply that took `took_ms`.
     pub fn record_reply(&mut self, took_ms: Millis) {
         let took = took_ms as f64;
         let weight = if took > self.slow_ms { 1.0 } else { SLOW_DECAY };
@@ -121,7 +114,7 @@
         self.slow_ms = (self.slow_ms * MISSED_FACTOR).min(START_TIMEOUT_RANGE_MS.1);
     }
 
-    /// Returns how long the reply to a start is waited for, in ms.
+    /// Returns the timeout of a start's reply, in ms.
     #[must_use]
     pub fn timeout_ms(&self) -> Millis {
         let (least, most) = START_TIMEOUT_RANGE_MS;
--- a/crates/dispatcher-core/src/rules/draining.rs
+++ b/crates/dispatcher-core/src/rules/draining.rs
@@ -1,18 +1,16 @@
-//! Which halls get no tasks, since the operator empties them.
+//! Tracks which halls the operator drains, so that they get no tasks.
 //!
-//! **Rule.** From the moment at which a host knows that a hall is draining it starts nothing
-//! there, for whichever owner: it counts none of the hall's targets as usable, so that it
-//! neither starts, reserves nor advertises their resources. What runs goes on to its end. A
-//! hall that is taken back serves again at once. The state of all halls belongs to one version
-//! of the platform's store: an older version never replaces a newer one, whichever way it came.
-//! Where only draining halls have targets for a task, its job is refused at once.
+//! **Rule.** Once a host knows that a hall is draining, it starts nothing there, for any owner:
+//! none of the hall's targets counts as usable, so that their resources are neither used, reserved
+//! nor advertised. Running attempts continue to their end. A hall that is taken back serves again
+//! at once. The state of all halls belongs to one version of the platform's store: an older version
+//! never replaces a newer one, whichever way it arrived. A job with a task that only draining halls
+//! have targets for is refused at once.
 //!
-//! **Inputs.** The draining halls, and the store's version up to which they are known; both
-//! as read from the store, or as another host told them. **Measured.** A day of only this, one
-//! of three halls drained for 8 s, without the rule: 2,515 starts later than the bound of 5 s
-//! after the store's acknowledgement. **Gives up.** A host that knows nothing yet, since the
-//! store and all peers are out of its reach, takes no hall for draining: else the loss of the
-//! store would stop a deployment that no one empties.
+//! **Inputs.** The draining halls and the store's version at which they were read, from the store
+//! or from another host. **Trade-off.** A host that knows nothing yet, because neither the store
+//! nor a peer is reachable, treats no hall as draining: otherwise the loss of the store would stop
+//! the deployment.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,31 +19,32 @@
 
 use crate::event::HallChange;
 
-/// The draining halls, shared with whoever decides by them.
+/// A shared, immutable set of draining halls.
 pub type HallSet = Arc<BTreeSet<Name>>;
 
-/// The draining halls as far as a host knows them.
+/// The draining halls that a host knows of, with their version.
 #[derive(Clone, Debug, Default)]
 pub struct DrainingHalls {
     halls: HallSet,
-    /// The store's version up to which they are known, if they are.
+    /// The version of the store at which they were read; none if never.
     version: Option<u64>,
 }
 
 impl DrainingHalls {
-    /// Returns the draining halls.
+    /// Returns the halls known to be draining.
     #[must_use]
     pub fn halls(&self) -> &HallSet {
         &self.halls
     }
 
-    /// Returns the store's version up to which they are known, if they are.
+    /// Returns the version of the store at which they were read; none if never.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Takes in all draining halls as of a version; returns what changed.
+    /// Replaces the set by the halls that drain at a version; returns the changes, none if a newer
+    /// version was known.
     pub fn replace(
         &mut self,
         version: u64,
@@ -59,9 +58,9 @@
             hall: hall.clone(),
             draining,
         };
-        let begun = halls.difference(&self.halls);
+        let started = halls.difference(&self.halls);
         let ended = self.halls.difference(&halls);
-        let changes = begun
+        let changes = started
             .map(|hall| change(hall, true))
             .chain(ended.map(|hall| change(hall, false)))
             .collect();
@@ -69,7 +68,7 @@
         changes
     }
 
-    /// Takes in what changed up to a version, in order; returns what is new of it.
+    /// Applies changes up to a version in order; returns those that were new.
     pub fn apply(&mut self, version: u64, changes: &[HallChange]) -> Vec<HallChange> {
         let mut halls = BTreeSet::clone(&self.halls);
         for change in changes {
@@ -82,8 +81,7 @@
         self.replace(version, halls)
     }
 
-    /// Records that the halls are known up to a version; returns false if a newer one was
-    /// known.
+    /// Advances to a version; returns false, without effect, if a newer one was known.
     fn advance(&mut self, version: u64) -> bool {
         if self.version.is_some_and(|known| known > version) {
             return false;
--- a/crates/dispatcher-core/src/rules/hall_load.rs
+++ b/crates/dispatcher-core/src/rules/hall_load.rs
@@ -1,33 +1,33 @@
-//! What is known of each hall's load and room.
+//! Aggregates the load of each hall, and estimates the wait in it.
 //!
-//! **Rule.** A hall's load is the sum of what its hosts were last heard to have. Hosts that are
-//! taken to be silent or gone don't count: a hall that is cut off knows its own hosts alone. A
-//! task is expected to wait until as much work is done as waits before it, its own among it,
-//! with all targets at work.
+//! **Rule.** A hall's load is the sum of the latest reports of its hosts. Hosts that are considered
+//! silent or that have stopped don't count: a hall that is cut off knows its own hosts alone. A
+//! task is expected to wait until the work that waits before it and its own are done, with all
+//! targets at work.
 //!
-//! **Inputs.** [`PoolLoad`]s as hosts tell them with their replies, with their age in ms.
-//! **Reason.** No message is sent for it. **Gives up.** Halls may differ in what they take a
-//! hall's load to be, by the age of their news. Free room counts that no single target may
-//! have in one piece.
+//! **Inputs.** [`PoolLoad`]s as hosts report them with their replies, with their age in ms.
+//! **Reason.** It costs no extra message. **Trade-off.** Halls may assume different loads of a
+//! hall, by the age of their updates. The free capacity includes fragments that no single target
+//! has in one piece.
 
 use crate::message::{add_waiting, PoolLoad, WaitingWork};
 use crate::Millis;
 
-/// The load of the targets in one hall.
+/// The total load of the targets in one hall.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HallLoad {
-    /// Thousandths of a core that the targets have.
+    /// Thousandths of a core of the targets.
     pub capacity_cpu: u64,
     /// Thousandths of a core in use.
     pub used_cpu: u64,
-    /// What waits, the most urgent first.
+    /// The waiting work, the most urgent first.
     pub waiting: Vec<WaitingWork>,
-    /// The age of the oldest news, in ms.
+    /// The age of the oldest report included, in ms.
     pub age_ms: Millis,
 }
 
 impl HallLoad {
-    /// Adds what one of its hosts told.
+    /// Adds the report of one of the hall's hosts.
     pub fn add(&mut self, load: &PoolLoad, age_ms: Millis) {
         self.capacity_cpu += u64::from(load.capacity_cpu);
         self.used_cpu += u64::from(load.used_cpu);
@@ -38,8 +38,8 @@
     }
 }
 
-/// Returns how long a task that takes `core_ms` is expected to wait where all targets are at
-/// work and `waiting` waits, in ms; none where there are no targets.
+/// Returns how long a task of `core_ms` is expected to wait behind `waiting`, in ms, with all
+/// targets at work; none where there are no targets.
 #[must_use]
 pub fn expected_wait_ms(
     waiting: &[WaitingWork],
@@ -47,7 +47,7 @@
     urgency: u8,
     core_ms: u64,
 ) -> Option<Millis> {
-    /// Thousandths of a core in one.
+    /// Thousandths of a core in one core.
     const CORE: u64 = 1_000;
     let before = waiting.iter().filter(|work| work.urgency <= urgency);
     let work_ms: u64 = before.map(|work| work.core_ms).sum::<u64>() + core_ms;
--- a/crates/dispatcher-core/src/rules/heartbeat_intervals.rs
+++ b/crates/dispatcher-core/src/rules/heartbeat_intervals.rs
@@ -1,86 +1,73 @@
-//! How often two hosts send each other heartbeats.
+//! Computes how often two hosts exchange heartbeats.
 //!
-//! **Rule.** Where attempts of one host run at the other, heartbeats renew the
-//! owner lease and come as often as that needs. All other pairs only have to
-//! know that the other one lives: the more hosts there are, the rarer these
-//! heartbeats, so that what one host spends on them doesn't grow with their
-//! number. Within a hall they don't get as rare as between halls: hosts of one hall take
-//! over each other's targets, and hand each other tasks first.
+//! **Rule.** Where attempts of one host run at the other, heartbeats renew the owner lease and are
+//! as frequent as that needs. All other pairs only have to detect that the other host is alive: the
+//! more hosts there are, the rarer these heartbeats, so that a host's load by them doesn't grow
+//! with the number of hosts. Within a hall they don't become as rare as between halls, since hosts
+//! of one hall take over each other's targets, and hand each other tasks first.
 //!
-//! **Inputs.** [`Times`] in ms, the number of known peers. **Measured**, with 43 hosts:
-//! with every pair as often as leases need, 905,000 of 1.6 million
-//! messages in 10 s of the grown deployment's quiet day were heartbeats, and
-//! its worth was -0.344; with this rule 99,000 and 0.872. **Gives up.** A dead
-//! host without common attempts is noticed later: after 1.8 s instead of 0.55 s
-//! among 43 hosts.
+//! **Inputs.** [`Times`] in ms, the number of known peers. **Trade-off.** The death of a host
+//! without common attempts is detected later.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::rules::leases::Times;
 use crate::Millis;
 
-/// Heartbeats that a host sends to idle peers in the time of one heartbeat to a
-/// peer with attempts, as long as the interval doesn't grow beyond
-/// [`MAX_IDLE_FACTOR`] or [`MAX_FAR_FACTOR`]. Chosen, not measured by itself.
+/// The number of heartbeats to idle peers in one heartbeat interval, until the idle interval
+/// reaches its bound.
 const IDLE_PEERS_PER_HEARTBEAT: usize = 8;
-/// The longest idle interval within a hall, as a multiple of the shortest: longer ones would
-/// let dead hosts go unnoticed for too long. Chosen, not measured by itself.
+/// The longest idle interval within a hall, as a multiple of the heartbeat interval: bounds how
+/// long a dead host goes undetected.
 const MAX_IDLE_FACTOR: f64 = 6.0;
-/// Heartbeats to idle peers of other halls in the time of one heartbeat to a peer with
-/// attempts: they hold no targets of this hall, and before a task goes to one its clock is
-/// asked for. Chosen, not measured by itself.
+/// The number of heartbeats to idle peers of other halls in one heartbeat interval. It can be
+/// lower: those hold no targets of this hall, and their clock is requested before a task is handed
+/// over to one.
 const FAR_PEERS_PER_HEARTBEAT: usize = 3;
-/// The longest interval towards other halls, as a multiple of the shortest, 7 s with the
-/// users' bounds. Chosen, not measured by itself.
+/// The longest idle interval towards other halls, as a multiple of the heartbeat interval.
 const MAX_FAR_FACTOR: f64 = 50.0;
-/// With fewer peers all of them are heard as often as those of the own hall: from here on
-/// these intervals no longer grow, so that the number of heartbeats would.
+/// With fewer peers, those of other halls get the same interval as those of the own hall, whose
+/// interval stops growing at this number.
 const MIN_PEERS_FOR_FAR: usize = IDLE_PEERS_PER_HEARTBEAT * MAX_IDLE_FACTOR as usize;
-/// An idle peer is alive as long as it was heard within this many intervals:
-/// one heartbeat may be lost. Chosen, not measured.
+/// An idle peer is considered alive for this many intervals: one heartbeat may be lost.
 const ALIVE_INTERVALS: f64 = 2.5;
-/// A peer's targets are left to it for this many owner leases since it was
-/// heard: one more than its attempts, since targets that change hands twice
-/// cost more than a slow host: a day after whose loss of power one host was busy for 0.5 s
-/// rose from 0.70 to 0.77 worth, with other changes.
+/// A peer keeps its targets for at least this many owner leases after its last message: longer than
+/// its attempts, since moving targets twice costs more than waiting for a slow host.
 const DEAD_AFTER_OWNER_LEASES: Millis = 2;
 
-/// The first heartbeats to peers of other halls, where those are heard rarely, are spread
-/// over this long, in ms. With all 146 at once a host of 0.12 core held its first target
-/// 0.77 s after its start, when the whole deployment came back from a loss of power; spread,
-/// 0.58 s after (one of 27 and mean of 13 such hosts, one played day each). The figure was
-/// chosen.
+/// The time over which the first heartbeats to peers of other halls are spread, in ms, so that they
+/// don't delay a starting host's first targets.
 const FIRST_FAR_SPREAD_MS: Millis = 2_000;
 
-/// Returns how long the first heartbeat to a peer of another hall waits, in ms.
+/// Returns how long the first heartbeat to a peer of another hall is delayed, in ms.
 #[must_use]
 pub fn first_far_heartbeat_delay_ms(own: &str, peer: &str) -> Millis {
     xxh3_64(format!("{own}\n{peer}").as_bytes()) % FIRST_FAR_SPREAD_MS
 }
 
-/// Times between hosts for a number of peers, in ms.
+/// Intervals and timeouts between hosts for a given number of peers, in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeartbeatIntervals {
-    /// From one heartbeat to the next where an owner lease depends on them.
+    /// The heartbeat interval where an owner lease depends on it.
     pub heartbeat: Millis,
-    /// From one heartbeat to the next elsewhere.
+    /// The heartbeat interval to all other peers.
     pub idle: Millis,
-    /// A peer with attempts of this host has to be heard within this.
+    /// The time in which a peer with attempts of this host has to acknowledge a message.
     pub owner_lease: Millis,
-    /// Any other peer is taken to live for this long since it answered.
+    /// The time for which any other peer is considered alive after an acknowledgement.
     pub alive: Millis,
-    /// A peer's targets are left to it for this long since it was heard.
+    /// The time for which a peer keeps its targets after its last message.
     pub dead: Millis,
 }
 
 impl HeartbeatIntervals {
-    /// Reckons the intervals towards peers of the own hall for a number of peers in all.
+    /// Computes the intervals towards peers of the own hall, given the number of all peers.
     #[must_use]
     pub fn near(times: &Times, peers: usize) -> Self {
         Self::new(times, peers, IDLE_PEERS_PER_HEARTBEAT, MAX_IDLE_FACTOR)
     }
 
-    /// Reckons the intervals towards peers of other halls for a number of peers in all.
+    /// Computes the intervals towards peers of other halls, given the number of all peers.
     #[must_use]
     pub fn far(times: &Times, peers: usize) -> Self {
         let near = Self::near(times, peers);
@@ -92,9 +79,9 @@
         }
     }
 
-    fn new(times: &Times, peers: usize, per_heartbeat: usize, longest: f64) -> Self {
-        let share = peers as f64 / per_heartbeat as f64;
-        let idle = times.heartbeat as f64 * share.clamp(1.0, longest);
+    fn new(times: &Times, peers: usize, per_heartbeat: usize, max_factor: f64) -> Self {
+        let factor = peers as f64 / per_heartbeat as f64;
+        let idle = times.heartbeat as f64 * factor.clamp(1.0, max_factor);
         let alive = ((idle * ALIVE_INTERVALS) as Millis).max(times.owner_lease);
         Self {
             heartbeat: times.heartbeat,
--- a/crates/dispatcher-core/src/rules/liveness.rs
+++ b/crates/dispatcher-core/src/rules/liveness.rs
@@ -1,57 +1,51 @@
-//! Whether a peer is alive, and what follows for its targets.
+//! Decides whether a peer is alive, and whether it keeps its targets.
 //!
-//! **Rule.** A peer gets tasks while it acknowledged something lately: within
-//! one owner lease where attempts of this host run there, within some idle
-//! intervals elsewhere. One that was asked anything and replied to nothing for an owner
-//! lease isn't alive until it replies, so that rare heartbeats don't let tasks wait for a
-//! dead peer. An address that refuses connections ends it at once.
-//! One that was heard of and had no time to answer yet may be there.
-//! Its targets are left to it for longer, since targets that change hands cost
-//! more than a host that is slow for a moment. A host that hears less than half
-//! of the others is probably cut off itself: it leaves their targets to them.
+//! **Rule.** A peer gets tasks while it has acknowledged a message recently: within one owner lease
+//! where attempts of this host run there, within some idle intervals elsewhere. A peer that has
+//! left requests unanswered for an owner lease isn't alive until it replies, so that tasks don't
+//! wait for a dead peer where heartbeats are rare. A peer whose address refuses connections isn't
+//! alive. A peer that is known but has had no time to answer yet may be alive. A peer keeps its
+//! targets for longer, since targets that change hands cost more than a host that is slow for a
+//! moment. A host that receives messages from less than half of the others is probably cut off
+//! itself: it leaves their targets to them.
 //!
-//! **Inputs.** What was heard of a peer and when, in ms of this host's clock;
-//! [`HeartbeatIntervals`]. **Measured.** A host that was cut off took all
-//! 48 targets and lost them one by one; leaving them for 8 s raised the worth of a played
-//! day with 20 % of the hosts cut off from 0.54 to 0.92, and with a hall cut off from 0.92
-//! to 0.94.
-//! **Gives up.** With more than half of the hosts dead at once, targets stay
-//! without a holder for up to 8 s, unless their addresses refuse connections.
+//! **Inputs.** The messages received from a peer and their times, in ms of this host's clock;
+//! [`HeartbeatIntervals`]. **Trade-off.** If more than half of the hosts die at once, targets stay
+//! without a holder for up to `MINORITY_RETENTION_MS`, unless their addresses refuse connections.
 
 use crate::rules::heartbeat_intervals::HeartbeatIntervals;
 use crate::Millis;
 
-/// How long targets are left to hosts that a host in the minority no longer
-/// hears, in ms. The figure itself was chosen.
+/// The time for which a host in the minority leaves targets to hosts that it no longer receives
+/// messages from, in ms.
 const MINORITY_RETENTION_MS: Millis = 8_000;
-/// A task may be handed over while the peer's clock was heard within this part
-/// of an owner lease: it is then still valid when the next heartbeats arrive.
-/// Chosen, not measured.
+/// A task may be handed over while the peer's clock was received within the owner lease divided by
+/// this: the echo is then still valid when the next heartbeats arrive.
 const FRESH_CLOCK_DIVISOR: Millis = 2;
 
-/// A host that was heard of and hasn't answered may be there for this long, in ms: links that
-/// are full delay the first answers by some 500 ms. Chosen, not measured by itself.
+/// The time for which a known host that hasn't answered yet may be alive, in ms: full links delay
+/// first answers.
 const FIRST_REPLY_MS: Millis = 1_000;
 
-/// What was heard of a peer; times are ms of this host's clock.
+/// The contact with a peer; times in ms of this host's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerContact {
-    /// When it last acknowledged something.
+    /// When it last acknowledged a message, if ever.
     pub acknowledged: Option<Millis>,
-    /// When anything came from it, or of it.
+    /// When a message last arrived from it, or another host reported it.
     pub last_contact: Millis,
-    /// When its clock was last heard, if it was.
+    /// When its clock was last received, if ever.
     pub clock: Option<Millis>,
-    /// Since when it has replied to nothing that it was asked, if it was asked.
+    /// Since when requests to it have had no reply, if any are open.
     pub unanswered_since: Option<Millis>,
     /// Whether its address refused the last connection.
     pub refused: bool,
-    /// Since when attempts of this host may run there, if they may.
+    /// Since when attempts of this host may run there, if any may.
     pub in_use_since: Option<Millis>,
 }
 
 impl PeerContact {
-    /// Returns whether the peer is taken to live.
+    /// Returns whether the peer is considered alive.
     #[must_use]
     pub fn is_alive(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
         let Some(acknowledged) = self.acknowledged.filter(|_| !self.refused) else {
@@ -62,65 +56,62 @@
             return false;
         }
         let fresh = acknowledged + intervals.owner_lease > now;
-        let in_use = self
+        let used_for_owner_lease = self
             .in_use_since
             .is_some_and(|at| at + intervals.owner_lease <= now);
-        fresh || (!in_use && acknowledged + intervals.alive > now)
+        fresh || (!used_for_owner_lease && acknowledged + intervals.alive > now)
     }
 
-    /// Returns whether its clock was heard so lately that a task may be handed to
-    /// it now.
+    /// Returns whether its clock was received recently enough to hand over a task now.
     #[must_use]
     pub fn has_fresh_clock(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
-        let fresh = intervals.owner_lease / FRESH_CLOCK_DIVISOR;
-        self.clock.is_some_and(|heard| heard + fresh > now)
+        let fresh_ms = intervals.owner_lease / FRESH_CLOCK_DIVISOR;
+        self.clock.is_some_and(|received| received + fresh_ms > now)
     }
 
-    /// Returns whether its targets are left to it, though it may get no tasks.
+    /// Returns whether it keeps its targets, even if it may get no tasks.
     #[must_use]
     pub fn retains_targets(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
-        let heard = self.acknowledged.is_some() && self.last_contact + intervals.dead > now;
-        heard && !self.refused
+        let in_contact = self.acknowledged.is_some() && self.last_contact + intervals.dead > now;
+        in_contact && !self.refused
     }
 
-    /// Returns whether it was heard lately and isn't known to be gone.
+    /// Returns whether it was recently alive and isn't known to have stopped.
     #[must_use]
     pub fn was_recently_alive(&self, now: Millis) -> bool {
-        let heard = self.acknowledged.is_some() && self.last_contact + MINORITY_RETENTION_MS > now;
-        heard && !self.refused
+        let in_contact =
+            self.acknowledged.is_some() && self.last_contact + MINORITY_RETENTION_MS > now;
+        in_contact && !self.refused
     }
 }
 
-/// Returns whether a host that was heard of at `learnt` and hasn't answered yet may be there:
-/// its targets are left to it meanwhile. Guards against a host that has just started, and hears
-/// nobody yet since its link is full, taking the targets of all others: on a played day with
-/// links of 2 Mbit/s on which hosts were stopped in turn, starting hosts took 126 targets of
-/// 126, and 687 attempts were lost by it.
+/// Returns whether a host that became known at `learnt` and hasn't answered yet may be alive, and
+/// so keeps its targets. Otherwise a host that has just started with a full link, and has received
+/// no reply yet, would take the targets of all others.
 #[must_use]
-pub fn may_be_alive(now: Millis, learnt: Millis, heard: &PeerContact) -> bool {
-    heard.acknowledged.is_none() && !heard.refused && learnt + FIRST_REPLY_MS > now
+pub fn may_be_alive(now: Millis, learnt: Millis, contact: &PeerContact) -> bool {
+    contact.acknowledged.is_none() && !contact.refused && learnt + FIRST_REPLY_MS > now
 }
 
-/// Returns whether a host that started at `started` knows enough of others to share the
-/// targets with them: it has heard one, or none answered in time.
+/// Returns whether a host that started at `started` knows enough peers to share the targets with
+/// them: it has received a message from one, or none answered in time.
 #[must_use]
-pub fn knows_peers(now: Millis, started: Millis, hears_nobody: bool) -> bool {
-    !hears_nobody || started + FIRST_REPLY_MS <= now
+pub fn knows_peers(now: Millis, started: Millis, has_no_contact: bool) -> bool {
+    !has_no_contact || started + FIRST_REPLY_MS <= now
 }
 
-/// Returns whether a host hears less than half of the hosts that were there of
-/// late, itself counted. Hosts whose address refuses connections are gone, not
-/// unheard.
+/// Returns whether a host has contact with less than half of the hosts that were recently alive,
+/// itself included. Hosts whose address refuses connections count as stopped.
 #[must_use]
 pub fn is_in_minority<'a>(
     now: Millis,
     intervals: &HeartbeatIntervals,
     peers: impl Iterator<Item = &'a PeerContact>,
 ) -> bool {
-    let (mut heard, mut all) = (1, 1);
+    let (mut in_contact, mut all) = (1, 1);
     for peer in peers.filter(|peer| peer.was_recently_alive(now)) {
         all += 1;
-        heard += usize::from(peer.retains_targets(now, intervals));
+        in_contact += usize::from(peer.retains_targets(now, intervals));
     }
-    2 * heard < all
+    2 * in_contact < all
 }
--- a/crates/dispatcher-core/src/rules/mod.rs
+++ b/crates/dispatcher-core/src/rules/mod.rs
@@ -1,36 +1,32 @@
-//! The rules by which a host decides, a file each.
+//! The rules by which a host decides, one per file.
 //!
-//! Each file states one rule: in words first, then its inputs with their units,
-//! why it is so and what it gives up, then its constants
-//! and pure functions over small inputs. State lives elsewhere (`crate::jobs`,
-//! `crate::targets`, `crate::peers`) and asks here.
+//! Each file states one rule: the rule in words, its inputs with their units, the reason and the
+//! trade-off, then its constants and pure functions over small inputs. State is kept elsewhere
+//! (`crate::jobs`, `crate::targets`, `crate::peers`), which call these functions.
 //!
 //! | question | rule |
 //! |---|---|
 //! | Why was this request rejected at once? | [`admission`], [`arrival`] |
 //! | Which waiting task goes first? | [`priority`], [`waiting_order`] |
-//! | Which queue or hall is due, and what may long tasks hold? | [`shares`], [`long_tasks`] |
-//! | How much does a target have? | [`capacity`] |
+//! | Which queue or hall is next, and how much may long tasks hold? | [`shares`], [`long_tasks`] |
+//! | How much capacity does a target have? | [`capacity`] |
 //! | Why this target? | [`target_choice`] |
 //! | Why this peer, and for which peer are resources reserved? | [`peer_choice`] |
 //! | At which holder does a task wait, and how long? | [`holder_choice`], [`hall_load`], [`backlog`] |
 //! | What follows from the end of an attempt? | [`retry`] |
 //! | Why does a task run alone, or no more? | [`crashes`] |
-//! | Why was this job given up, and when may its caller come back? | [`giving_up`] |
+//! | Why was this job given up, and when may its caller retry? | [`giving_up`] |
 //! | Why does a target get no tasks? | [`target_health`], [`draining`] |
-//! | Which host holds a target, and who yields? | [`assignment`], [`contention`] |
-//! | How much is said on a full link? | [`congestion`] |
-//! | Who reads the platform's store? | [`store_readers`] |
-//! | Does an attempt stand still? | [`progress`] |
+//! | Which host holds a target, and which one yields? | [`assignment`], [`contention`] |
+//! | How much is sent over a full link? | [`congestion`] |
+//! | Which hosts read the platform's store? | [`store_readers`] |
+//! | Is an attempt stalled? | [`progress`] |
 //! | How long will a task run? | [`running_time`] |
 //! | How slow is a target? | [`target_speed`] |
-//! | Does a failure speak against its target? | [`failure_source`] |
+//! | Does a failure count against its target? | [`failure_source`] |
 //! | Is a peer alive? | [`liveness`] |
-//! | Which hosts is a peer told? | [`membership`] |
+//! | Which hosts are reported to a peer? | [`membership`] |
 //! | Who may start what until when? | [`leases`], [`heartbeat_intervals`] |
-//!
-//! Figures of tuning stand in `docs/design/figures-moved-from-code.md` and `docs/MEASURES.md`.
-//! Where a rule gives some, *worth* is what the users' measures give a day, 1 at most.
 
 pub mod admission;
 pub mod arrival;
--- a/crates/dispatcher-core/src/rules/priority.rs
+++ b/crates/dispatcher-core/src/rules/priority.rs
@@ -1,40 +1,35 @@
-//! Which waiting task goes first.
+//! Computes the priority of waiting tasks.
 //!
-//! **Rule.** By class, then by the queue's urgency, then by the latest start
-//! that keeps the class. The classes, the first before the others: tasks of
-//! jobs that have begun (without them what ran was for nothing), jobs that can
-//! still meet their objective, jobs that will be late, and jobs whose answer is
-//! worth nothing any more, which are not started.
+//! **Rule.** By class, then by the queue's urgency, then by the latest start that keeps the class.
+//! The classes, the first before the others: tasks of jobs that have started (without them, what
+//! already ran is wasted), jobs that can still meet their objective, jobs that will be late, and
+//! jobs whose answer is no longer worth anything, which are not started.
 //!
-//! **Inputs.** The job's age, latency objective and the task's estimate, in ms;
-//! the queue's urgency. **Measured**, worth of a played day beyond capacity: classes
-//! instead of first come first served 0.255 to 0.508 on the turn resolver's deployment,
-//! 0.031 to 0.767 on the gauges'. Without classes by slack 0.822 to 0.812 on the petition
-//! desk's (standard error 0.005, 10 days in pairs). Urgency within a class: no difference
-//! there, a small gain on the other two. **Gives up.** A job that hasn't begun waits
-//! behind every task of the jobs that have, whatever their queue.
+//! **Inputs.** The job's age, latency objective and the task's estimate, in ms; the queue's
+//! urgency. **Reason.** In an overload, the capacity goes to jobs whose answers are still useful.
+//! **Trade-off.** A job that hasn't started waits behind every task of the jobs that have, in any
+//! queue.
 
 use crate::message::{Priority, PriorityClass};
 use crate::Millis;
 
-/// An answer is worth something up to this many times the latency objective:
-/// what the users' deployments pay for.
+/// An answer is worth something up to this many times the latency objective.
 const WORTH_OBJECTIVES: Millis = 3;
 
-/// A job with a waiting task; times in ms.
+/// A job with a waiting task.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingJob {
-    /// Time since the job was accepted.
+    /// The time since the job was accepted, in ms.
     pub age_ms: Millis,
-    /// Its latency objective, from its acceptance.
+    /// Its latency objective, in ms from its acceptance.
     pub objective_ms: Millis,
-    /// Whether a task of it was started, or is lost.
+    /// Whether a task of it was started, even if its attempt was lost.
     pub started: bool,
-    /// Its queue's urgency; 0 is the most urgent.
+    /// The urgency of its queue; 0 is the most urgent.
     pub urgency: u8,
 }
 
-/// Returns for how long after its acceptance a job's answer is worth something.
+/// Returns for how long after a job's acceptance its answer is worth something, in ms.
 #[must_use]
 pub fn worth_ms(objective_ms: Millis) -> Millis {
     objective_ms * WORTH_OBJECTIVES
--- a/crates/dispatcher-core/src/rules/running_time.rs
+++ b/crates/dispatcher-core/src/rules/running_time.rs
@@ -1,71 +1,74 @@
-//! How long tasks of one kind run on an ordinary target.
+//! Estimates how long tasks of one kind run on an ordinary target.
 //!
-//! **Rule.** Tasks of one *kind* have their pool, and their estimate and processor time to a
-//! factor of 2, in common: a holder of targets isn't told a task's queue, and queues of one pool
-//! mostly differ in these. For each kind the ratios of running time to estimate make a
-//! histogram in steps of a third of an octave, from ends on whichever target and for whichever
-//! owner, each divided by how slow its target is ([`super::target_speed`]) and by what its
-//! data's distance costs. Ends fade with `MEMORY_MS` and `MEMORY_ENDS`, whichever is
-//! shorter, but for the last few. Where most of the last ends lie beyond what was usual, all
-//! before them are forgotten: the work has changed. A few imagined ends around the estimate are
-//! added, which alone speak for a kind that isn't known. From this follow the median, the tail,
-//! and what is left of a task that has run for some time. A task *overruns* after `OVERRUN_TAIL_FACTOR` times the tail.
+//! **Rule.** Tasks of one *kind* share their pool, and their estimate and processor time to a
+//! factor of 2: a holder of targets isn't sent a task's queue, and queues of one pool mostly differ
+//! in these. For each kind the ratios of running time to estimate form a histogram in steps of a
+//! third of an octave, from ends on any target and for any owner, each divided by the slowdown of
+//! its target ([`super::target_speed`]) and by that of its data's distance. Ends decay with
+//! `MEMORY_MS` and `MEMORY_ENDS`, whichever is shorter, but for the last few. If most of the last
+//! ends lie outside the usual range, all earlier ones are removed: the work has changed. A few
+//! prior ends around the estimate are added, which alone determine a kind that isn't known. The
+//! median, the tail and the remaining time of a running task follow from the histogram. A task
+//! *overruns* after `OVERRUN_TAIL_FACTOR` times the tail.
 //!
-//! **Inputs.** Ratios without unit, times in ms. **Reason.** A histogram shows what a mean and a
-//! spread don't: that a few tasks take many times as long by their own nature, so that a task
-//! past its estimate is likely one of them and its target well. Long tasks move neither the
-//! median nor, by themselves, what is believed of targets. A task stopped as an overrun counts
-//! with the time it had: estimates that are far too low are outgrown, not enforced for ever.
-//! **Gives up.** Queues of one pool whose tasks look alike share a histogram. Where no progress
-//! is told, a hung task of a kind with a long tail is waited for.
+//! **Inputs.** Ratios without unit, times in ms. **Reason.** Unlike a mean and a deviation, a
+//! histogram shows that a few tasks take many times as long by nature, so that a task past its
+//! estimate is likely one of them on a healthy target. Long tasks move neither the median nor, by
+//! themselves, the slowdown of targets. A task stopped as an overrun counts with the time it ran,
+//! so that estimates that are far too low are corrected. **Trade-off.** Queues of one pool with
+//! similar tasks share a histogram. Where no progress is reported, a hung task of a kind with a
+//! long tail is waited for.
 
 use gannetridge_wire::Name;
 
 use crate::message::TaskOrder;
 use crate::Millis;
 
-/// Steps of a histogram in a doubling of the ratio.
+/// Histogram steps per doubling of the ratio.
 pub(super) const STEPS_PER_OCTAVE: f64 = 3.0;
 /// Steps from the smallest ratio to 1: six octaves.
 const STEPS_BELOW_ONE: usize = 18;
 /// Steps of the histogram: sixteen octaves.
 const STEPS: usize = 48;
-/// Ends fade to a third in this time, in ms: callers' work changes with its hour and their
-/// releases, and tails show only in some hundred ends.
+/// The time in which weights decay to about a third, in ms: work changes over hours, and tails only
+/// show in some hundred ends.
 const MEMORY_MS: Millis = 60_000;
-/// No more than about so many ends count: a busy kind's change is seen sooner, and a tail of one
-/// task in a hundred still shows.
+/// The bound of the total weight of ends, about: a change in a busy kind is detected early, and a
+/// tail of one task in a hundred still shows.
 const MEMORY_ENDS: f32 = 300.0;
-/// Time alone leaves about so many ends: a kind whose tasks come rarely is known by its last.
+/// The weight of ends that time alone doesn't reduce, about, so that rare kinds stay known by their
+/// last ends.
 const MIN_RETAINED_ENDS: f32 = 16.0;
-/// How many of the last ends are looked at for a change of the work.
+/// The number of last ends that are checked for a change of the work.
 const LAST_ENDS: usize = 16;
-/// So many of these lie beyond the usual once the work has changed.
+/// The number of unusual ones among the last ends that shows a change of the work.
 const CHANGED_ENDS: usize = 12;
-/// The parts of a kind's tasks between which a running time is usual.
+/// The quantiles between which a running time is usual.
 const USUAL_QUANTILES: (f64, f64) = (0.05, 0.95);
-/// Imagined ends, as ratios: callers' estimates are right to a factor of 2.
+/// Prior ends, as ratios: estimates are assumed right to a factor of 2.
 const PRIOR_RATIOS: [f64; 5] = [0.5, 0.71, 1.0, 1.41, 2.0];
-/// A kind with this weight of ends is known as well as not.
+/// The weight of ends at which the certainty is one half.
 const HALF_KNOWN_ENDS: f32 = 8.0;
-/// The part of tasks that end before the tail.
+/// The quantile of the tail.
 const TAIL_QUANTILE: f64 = 0.99;
-/// Some task may take so many times the median, though none of the known ones did.
+/// The least upper bound of running times, as a multiple of the median.
 const MIN_UPPER_BOUND_FACTOR: f64 = 4.0;
-/// A task overruns after so many times the tail: four times the estimate while nothing is known.
+/// A task overruns after this many times the tail: about four times the estimate for an unknown
+/// kind.
 const OVERRUN_TAIL_FACTOR: f64 = 2.0;
-/// An attempt overruns no sooner than this beyond that, in ms: calls and listings take it.
+/// The time added to that, in ms: allows for calls and listings.
 const OVERRUN_MARGIN_MS: f64 = 150.0;
-/// What a task that outlived all known ones has left, as a part of the time it has run.
+/// The remaining time of a task that has run longer than all known ones, as a share of its running
+/// time so far.
 const REMAINING_SHARE_BEYOND_ALL: f64 = 0.5;
-/// What callers that give no estimate are taken to mean, in ms: they wait for their answers.
+/// The estimate of tasks without a usable one, in ms.
 const UNKNOWN_ESTIMATE_MS: Millis = 1_000;
-/// No estimate counts as shorter than this, in ms: calls and listings take as long.
+/// The least estimate, in ms: calls and listings take as long.
 const MIN_ESTIMATE_MS: Millis = 10;
-/// A longer estimate counts as none, in ms: it is beyond all that callers wait for.
+/// The largest usable estimate, in ms: longer than any caller waits.
 const MAX_USABLE_ESTIMATE_MS: Millis = 600_000;
 
-/// Returns what a caller's estimate counts as, in ms.
+/// Returns the estimate in ms that is used for a caller's estimate.
 #[must_use]
 pub fn usable_estimate_ms(estimate_ms: Millis) -> Millis {
     if is_usable(estimate_ms) {
@@ -75,24 +78,24 @@
     }
 }
 
-/// Returns whether a caller's estimate says anything.
+/// Returns whether a caller's estimate is usable.
 fn is_usable(estimate_ms: Millis) -> bool {
     (1..=MAX_USABLE_ESTIMATE_MS).contains(&estimate_ms)
 }
 
-/// A kind of task: what tasks have in common whose running times are learned together.
+/// A kind of task: the properties shared by tasks whose running times are learned together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskKind {
-    /// The pool.
+    /// The pool of the tasks.
     pub pool: Name,
-    /// The exponent of 2 in the estimate in ms, if that says anything.
+    /// The binary logarithm of the estimate in ms, rounded down; none if the estimate isn't usable.
     pub estimate_octave: Option<u32>,
-    /// The exponent of 2 in the processor time in thousandths of a core.
+    /// The binary logarithm of the processor time in thousandths of a core, rounded down.
     pub cpu_octave: u32,
 }
 
 impl TaskKind {
-    /// Returns an order's kind.
+    /// Returns the kind of a task order.
     #[must_use]
     pub fn of(order: &TaskOrder) -> Self {
         Self {
@@ -109,7 +112,7 @@
 pub struct RunningTimes {
     /// The weight of ends in each step.
     ends: [f32; STEPS],
-    /// When the weights were last faded, in ms.
+    /// When the weights last decayed, in ms.
     at: Millis,
     /// The last ends, the latest first.
     last: [LastEnd; LAST_ENDS],
@@ -119,12 +122,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct LastEnd {
     step: usize,
-    /// Whether it lay beyond most of those before it.
+    /// Whether its ratio was outside the usual range of those before it.
     unusual: bool,
 }
 
 impl RunningTimes {
-    /// Returns what is known before any end.
+    /// Creates running times without any end.
     #[must_use]
     pub fn new(now: Millis) -> Self {
         Self {
@@ -134,17 +137,17 @@
         }
     }
 
-    /// Takes an end in: the running time over the estimate, on an ordinary target.
+    /// Records an end: the ratio of running time to estimate on an ordinary target.
     pub fn record_end(&mut self, now: Millis, ratio: f64) {
         self.record_last(ratio);
-        self.fade(now);
+        self.decay(now);
         self.ends[step_of(ratio)] += 1.0;
         if self.has_changed() {
             self.reset_to_last();
         }
     }
 
-    /// Keeps one of the last ends.
+    /// Adds an end to the last ones.
     fn record_last(&mut self, ratio: f64) {
         let (few, most) = USUAL_QUANTILES;
         let usual = self.quantile(few)..=self.quantile(most);
@@ -155,13 +158,13 @@
         };
     }
 
-    /// Returns whether the work is another one than most of the ends show.
+    /// Returns whether the last ends show that the work has changed.
     fn has_changed(&self) -> bool {
         let unusual = self.last.iter().filter(|end| end.unusual).count();
         unusual >= CHANGED_ENDS && self.sample_weight() > LAST_ENDS as f32
     }
 
-    /// Forgets all but the last ends.
+    /// Removes all but the last ends.
     fn reset_to_last(&mut self) {
         self.ends = [0.0; STEPS];
         for end in &mut self.last {
@@ -170,38 +173,39 @@
         }
     }
 
-    /// Lets the ends fade by the time since they last did, and by one more end.
-    fn fade(&mut self, now: Millis) {
+    /// Decays the weights by the time since they last did, and by one more end.
+    fn decay(&mut self, now: Millis) {
         let since = now.saturating_sub(self.at) as f32;
         let by_time = (-since / MEMORY_MS as f32).exp();
         let least = (MIN_RETAINED_ENDS / self.sample_weight().max(MIN_RETAINED_ENDS)).min(1.0);
-        let kept = by_time.max(least) * (1.0 - 1.0 / MEMORY_ENDS);
+        let factor = by_time.max(least) * (1.0 - 1.0 / MEMORY_ENDS);
         for weight in &mut self.ends {
-            *weight *= kept;
+            *weight *= factor;
         }
         self.at = self.at.max(now);
     }
 
-    /// Takes in that a task was stopped after it had run for so long, if that says anything.
+    /// Records that a task was stopped after it had run for this ratio, if that is more than the
+    /// median.
     pub fn record_stopped(&mut self, now: Millis, ratio: f64) {
         if ratio > self.median() {
             self.record_end(now, ratio);
         }
     }
 
-    /// Returns when the last end came, in ms.
+    /// Returns when the last end was recorded, or when this was created, in ms.
     #[must_use]
     pub fn last_end(&self) -> Millis {
         self.at
     }
 
-    /// Returns the weight of ends by which it is known.
+    /// Returns the total weight of the recorded ends.
     #[must_use]
     pub fn sample_weight(&self) -> f32 {
         self.ends.iter().sum()
     }
 
-    /// Returns how well it is known, between 0 and 1.
+    /// Returns how certain the running times are, from 0 to 1.
     #[must_use]
     pub fn certainty(&self) -> f64 {
         let known = self.sample_weight();
@@ -214,23 +218,23 @@
         self.quantile(0.5)
     }
 
-    /// Returns the ratio that few tasks exceed.
+    /// Returns the ratio that one task in 100 exceeds.
     #[must_use]
     pub fn tail(&self) -> f64 {
         self.quantile(TAIL_QUANTILE)
     }
 
-    /// Returns the longest ratio to reckon with, also where few ends leave the tail unknown.
+    /// Returns the longest ratio to expect, also where few ends leave the tail unknown.
     #[must_use]
     pub fn upper_bound(&self) -> f64 {
         self.tail().max(self.median() * MIN_UPPER_BOUND_FACTOR)
     }
 
-    /// Returns the ratio that a part of the tasks stays below.
+    /// Returns the ratio that a share of the tasks stays below.
     #[must_use]
-    pub fn quantile(&self, part: f64) -> f64 {
+    pub fn quantile(&self, share: f64) -> f64 {
         let weights = self.weights();
-        let mut left = part * weights.iter().sum::<f64>();
+        let mut left = share * weights.iter().sum::<f64>();
         for (step, weight) in weights.iter().enumerate() {
             if left <= *weight && *weight > 0.0 {
                 return ratio_at(step as f64 + left / weight);
@@ -240,29 +244,29 @@
         ratio_at(STEPS as f64)
     }
 
-    /// Returns the part of the tasks that takes about so long: in one step of the histogram, and
-    /// half as much of those beside it, so that few ends leave no gaps.
+    /// Returns the share of the tasks that take about this ratio: those in its step of the
+    /// histogram, smoothed with the steps beside it, so that few ends leave no gaps.
     ///
-    /// Where the kind isn't known, all ratios are about as likely: a wrong estimate says nothing
-    /// of a target.
+    /// Where the kind isn't known, all ratios are about equally likely: a wrong estimate doesn't
+    /// show that a target is slow.
     #[must_use]
     pub fn likelihood(&self, ratio: f64) -> f64 {
         let step = step_of(ratio);
         let beside = self.ends[step.saturating_sub(1)] + self.ends[(step + 1).min(STEPS - 1)];
         let about = self.ends[step] / 2.0 + beside / 4.0;
-        let part = about / self.sample_weight().max(f32::MIN_POSITIVE);
-        self.blend(f64::from(part), 1.0 / STEPS as f64)
+        let share = about / self.sample_weight().max(f32::MIN_POSITIVE);
+        self.blend(f64::from(share), 1.0 / STEPS as f64)
     }
 
-    /// Returns the part of the tasks that takes longer.
+    /// Returns the share of the tasks that take longer than this ratio.
     #[must_use]
     pub fn share_longer_than(&self, ratio: f64) -> f64 {
         let longer: f32 = self.ends[step_of(ratio)..].iter().sum();
-        let part = longer / self.sample_weight().max(f32::MIN_POSITIVE);
-        self.blend(f64::from(part), 1.0)
+        let share = longer / self.sample_weight().max(f32::MIN_POSITIVE);
+        self.blend(f64::from(share), 1.0)
     }
 
-    /// Returns what is expected to be left of a task that has run for so long, both as ratios.
+    /// Returns the expected remaining time of a task that has run for `run`, both as ratios.
     #[must_use]
     pub fn expected_remaining(&self, run: f64) -> f64 {
         let weights = self.weights();
@@ -281,13 +285,13 @@
         }
     }
 
-    /// Returns after how long a task overruns, in ms, if tasks take `scale_ms` at a ratio of 1.
+    /// Returns after how many ms a task overruns, if tasks take `scale_ms` at a ratio of 1.
     #[must_use]
     pub fn overrun_after_ms(&self, scale_ms: f64) -> Millis {
         (self.tail() * OVERRUN_TAIL_FACTOR * scale_ms + OVERRUN_MARGIN_MS) as Millis
     }
 
-    /// Returns the weights with the imagined ends.
+    /// Returns the weights including the prior ends.
     fn weights(&self) -> [f64; STEPS] {
         let mut weights = self.ends.map(f64::from);
         for ratio in PRIOR_RATIOS {
@@ -296,20 +300,20 @@
         weights
     }
 
-    /// Returns what the ends say as far as the kind is known, and else the other value.
+    /// Returns the mean of both values, weighted by the certainty of the kind.
     fn blend(&self, known: f64, unknown: f64) -> f64 {
         let certainty = self.certainty();
         certainty * known + (1.0 - certainty) * unknown
     }
 }
 
-/// Returns the step of a ratio; those beyond the histogram count for its ends.
+/// Returns the step of a ratio; ratios outside the histogram fall into its first or last step.
 fn step_of(ratio: f64) -> usize {
     let step = ratio.max(f64::MIN_POSITIVE).log2() * STEPS_PER_OCTAVE;
     (step + STEPS_BELOW_ONE as f64).clamp(0.0, (STEPS - 1) as f64) as usize
 }
 
-/// Returns the ratio at a place of the histogram, counted in steps.
+/// Returns the ratio at a position in the histogram, counted in steps.
 fn ratio_at(step: f64) -> f64 {
     ((step - STEPS_BELOW_ONE as f64) / STEPS_PER_OCTAVE).exp2()
 }
--- a/crates/dispatcher-core/src/rules/shares.rs
+++ b/crates/dispatcher-core/src/rules/shares.rs
@@ -1,23 +1,23 @@
-//! Which queue is due next, and which hall of origin within it.
+//! Computes which queue is served next, and which hall of origin within it.
 //!
-//! **Rule.** Start-time fair queueing, a weighted max-min share in two levels: the queues of
-//! one urgency, and the halls of origin of one queue. Each has a virtual time, which grows by
-//! the processor time of its started tasks over its weight; the least is due first. Nobody's
-//! room is kept for it: while one has no waiting task the others use its share, and when it
-//! returns it begins where the one that is furthest behind is, neither ahead for what it left
-//! nor behind for what it used of others' shares. Between two that wait all the time, what they
-//! used over their weights differs by the largest task of each at most.
+//! **Rule.** Start-time fair queueing, a weighted max-min share in two levels: the queues of one
+//! urgency, and the halls of origin of one queue. Each has a virtual time, which grows by the
+//! processor time of its started tasks over its weight; the least is served first. No capacity is
+//! reserved: while one has no waiting task the others use its share, and when it returns it starts
+//! at the least virtual time of the others. It neither gains from the share that it left unused nor
+//! pays for what it used of others' shares. Between two that always wait, usage over weight differs
+//! by the largest task of each at most.
 //!
-//! Urgencies have no shares but a least one: an urgency that used less than [`MIN_SHARE`] of
-//! what was started lately is due before more urgent ones, so that it isn't starved. The next
-//! task of `core_ms` waits until the use that was counted for the earlier ones has decayed: at
-//! most `HALF_LIFE_MS * log2(1 + core_ms / (MIN_SHARE * all))`.
+//! Urgencies have no shares but a minimum: an urgency that used less than [`MIN_SHARE`] of what was
+//! started recently is served before more urgent ones, so that it isn't starved. The next task of
+//! `core_ms` waits until the usage counted for the earlier ones has decayed: at most `HALF_LIFE_MS
+//! * log2(1 + core_ms / (MIN_SHARE * all))`.
 //!
 //! **Inputs.** Processor time of started tasks by estimate in core-ms, time in ms, weights.
-//! **Reason.** A queue or a hall that sends more than its share makes only its own callers
-//! wait. Nothing is known of client accounts; a queue stands for one. **Gives up.** Each holder
-//! counts what it starts itself: shares are equal over all holders as far as tasks of all
-//! queues and halls reach each of them. An attempt that is lost was counted all the same.
+//! **Reason.** A queue or a hall that sends more than its share makes only its own callers wait.
+//! Client accounts aren't known here; a queue stands for one. **Trade-off.** Each holder counts
+//! what it starts itself: shares are equal over all holders as far as tasks of all queues and halls
+//! reach each of them. A lost attempt counts as usage.
 
 use std::collections::BTreeMap;
 
@@ -25,55 +25,57 @@
 
 use crate::Millis;
 
-/// The part of the room that the waiting tasks of each urgency get whatever is more urgent.
+/// The share of the capacity that the waiting tasks of each urgency get, whatever more urgent work
+/// waits.
 pub const MIN_SHARE: f64 = 0.05;
-/// What an urgency has used counts half after this time, in ms: within the deadlines of
-/// callers, so that the least share comes while it is of use to them.
+/// The usage of an urgency counts half after this time, in ms: within the deadlines of callers, so
+/// that the minimum share is granted in time.
 const HALF_LIFE_MS: f64 = 1_000.0;
-/// The most names that one level remembers: bounds memory.
+/// The most names that one level tracks: bounds memory.
 const MAX_TRACKED_NAMES: usize = 128;
 
-/// Weights of queues and of halls; 1 for those without one. No setting gives any: at the
+/// Weights of queues and of halls; a missing one counts as 1. No setting sets them: in the
 /// dispatcher all are 1.
 #[derive(Clone, Debug, Default)]
 pub struct Weights {
-    /// By queue.
+    /// Weights by queue.
     pub queues: BTreeMap<Name, u32>,
-    /// By hall.
+    /// Weights by hall.
     pub halls: BTreeMap<Name, u32>,
 }
 
-/// For whom a task runs.
+/// The queue and hall on whose behalf a task runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin<'a> {
     /// The urgency of its queue; 0 is the most urgent.
     pub urgency: u8,
-    /// Its queue.
+    /// The queue of the job.
     pub queue: &'a Name,
     /// The hall of the host that its caller is connected to.
     pub hall: &'a Name,
 }
 
-/// How far ahead of the others an origin is, in core-ms over its weight; the least is due.
+/// The virtual times at which an origin's next task starts, in core-ms over weights; the least is
+/// served first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct VirtualStart {
-    /// Its queue among those of its urgency.
+    /// The virtual time of its queue among those of its urgency.
     pub queue: f64,
-    /// Its hall within the queue.
+    /// The virtual time of its hall within the queue.
     pub hall: f64,
 }
 
-/// Virtual times of those who share something.
+/// The virtual times of the names that share one resource.
 #[derive(Clone, Debug, Default)]
 struct FairQueue {
-    /// The virtual time at which a name begins that has had no waiting task.
+    /// The virtual time at which a name starts that has had no waiting task.
     virtual_time: f64,
-    /// Names that were served beyond it, and up to which virtual time.
+    /// Names that were served beyond it, each with its own virtual time.
     served: Vec<(Name, f64)>,
 }
 
 impl FairQueue {
-    /// Returns the virtual time at which the next task of a name begins.
+    /// Returns the virtual time at which the next task of a name starts.
     fn start_of(&self, name: &Name) -> f64 {
         let found = self.served.iter().find(|(other, _)| other == name);
         found.map_or(self.virtual_time, |(_, until)| until.max(self.virtual_time))
@@ -88,12 +90,12 @@
         let until = self.start_of(name) + cost;
         match self.served.iter_mut().find(|(other, _)| other == name) {
             Some(entry) => entry.1 = until,
-            None => self.remember(name, until),
+            None => self.add_name(name, until),
         }
     }
 
-    /// Remembers one more name; without space for it, the one that is least ahead is forgotten.
-    fn remember(&mut self, name: &Name, until: f64) {
+    /// Adds a name; if the limit is reached, removes the one that is least ahead.
+    fn add_name(&mut self, name: &Name, until: f64) {
         if self.served.len() >= MAX_TRACKED_NAMES {
             let entries = self.served.iter().enumerate();
             let least = entries.min_by(|(_, a), (_, b)| a.1.total_cmp(&b.1));
@@ -104,7 +106,7 @@
         self.served.push((name.clone(), until));
     }
 
-    /// Advances the virtual time to the one of those that wait that is least ahead.
+    /// Advances the virtual time to the least of the waiting names.
     fn advance<'a>(&mut self, waiting: impl Iterator<Item = &'a Name>) {
         let starts = waiting.map(|name| self.start_of(name));
         if let Some(least) = starts.min_by(f64::total_cmp) {
@@ -114,13 +116,13 @@
     }
 }
 
-/// What the queues of one urgency have used.
+/// The usage of the queues of one urgency.
 #[derive(Clone, Debug, Default)]
 struct Level {
     queues: FairQueue,
-    /// By queue.
+    /// Virtual times of the halls of origin, by queue.
     halls: BTreeMap<Name, FairQueue>,
-    /// Processor time of what was started lately, in core-ms.
+    /// Processor time of recently started tasks, in core-ms; decays.
     used: f64,
 }
 
@@ -132,26 +134,26 @@
             let of_queue = waiting.clone().filter(|origin| origin.queue == queue);
             halls.advance(of_queue.map(|origin| origin.hall));
         }
-        // What the halls of a queue used matters as long as the queue waits, or may soon.
+        // The usage of a queue's halls is kept while the queue waits or is ahead.
         let waits = |queue: &Name| queues.clone().any(|other| other == queue);
-        let ahead = &self.queues;
+        let fair_queue = &self.queues;
         self.halls
-            .retain(|queue, _| ahead.is_ahead(queue) || waits(queue));
+            .retain(|queue, _| fair_queue.is_ahead(queue) || waits(queue));
     }
 }
 
-/// What queues and halls have used of the targets that a host holds; of all pools
-/// together, so that pools beside each other share one order.
+/// The usage by queues and halls of the targets that a host holds, in all pools together, so that
+/// the pools follow one order.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     weights: Weights,
     levels: BTreeMap<u8, Level>,
-    /// When what urgencies used was decayed last.
+    /// When the usage of urgencies last decayed, in ms.
     decayed: Millis,
 }
 
 impl Shares {
-    /// Creates shares of which nothing is used.
+    /// Creates shares without usage.
     #[must_use]
     pub fn new(weights: Weights) -> Self {
         Self {
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Records that a task was started.
+    /// Records the start of a task.
     pub fn record_start(&mut self, now: Millis, origin: &Origin<'_>, core_ms: u64) {
         self.decay(now);
         let core_ms = core_ms as f64;
@@ -175,7 +177,8 @@
         );
     }
 
-    /// Takes in whose tasks wait; called before they are compared.
+    /// Updates the virtual times by the origins of the waiting tasks; called before origins are
+    /// compared.
     pub fn advance<'a>(&mut self, now: Millis, waiting: impl Iterator<Item = Origin<'a>> + Clone) {
         self.decay(now);
         for (urgency, level) in &mut self.levels {
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Returns how far ahead an origin is of others of its urgency.
+    /// Returns the virtual times at which an origin's next task starts.
     #[must_use]
     pub fn virtual_start(&self, origin: &Origin<'_>) -> VirtualStart {
         let level = self.levels.get(&origin.urgency);
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Returns whether an urgency has used less than its least share.
+    /// Returns whether an urgency has used less than its minimum share.
     #[must_use]
     pub fn is_below_min_share(&self, urgency: u8) -> bool {
         let all: f64 = self.levels.values().map(|level| level.used).sum();
@@ -203,12 +206,12 @@
         used < MIN_SHARE * all
     }
 
-    /// Lets what urgencies used decay.
+    /// Decays the usage of urgencies.
     fn decay(&mut self, now: Millis) {
         let passed = now.saturating_sub(self.decayed) as f64;
-        let kept = (-passed / HALF_LIFE_MS).exp2();
+        let factor = (-passed / HALF_LIFE_MS).exp2();
         for level in self.levels.values_mut() {
-            level.used *= kept;
+            level.used *= factor;
         }
         self.decayed = self.decayed.max(now);
     }
--- a/crates/dispatcher-core/src/rules/target_choice.rs
+++ b/crates/dispatcher-core/src/rules/target_choice.rs
@@ -1,54 +1,52 @@
-//! Which target a task is started on.
+//! Chooses the target that a task is started on.
 //!
-//! **Rule.** Of the targets whose leases this host holds, those that are usable,
-//! suit the task and have the resources free; of these the one that costs least.
-//! Cost is in units of an ordinary target's running time: a slow target costs its
-//! slowdown, a rack without the task's data as many times more as the deployment says
-//! (`remote-factor`), a wholly free target half a unit more than a full one (the fullest
-//! first, so that large tasks find room), and each failure in a row 0.3.
+//! **Rule.** Of the targets whose leases this host holds, those that are usable, suit the task and
+//! have the resources free; of these the one with the lowest cost. The cost is in units of an
+//! ordinary target's running time: a slow target costs its slowdown, multiplied by `remote-factor`
+//! for a rack without the task's data; a wholly free target costs half a unit more than a full one,
+//! so that large tasks find a target; and each failure in a row costs 0.3.
 //!
-//! **Inputs.** Thousandths of a core, slowdowns as ratios, failures in a row.
-//! Attempts under way that are overdue count as slowdown too, and a very slow target gets one
-//! task at a time; see [`super::target_health`]. **Gives up.** The best weights of free
-//! resources and of failures.
+//! **Inputs.** Thousandths of a core, slowdowns as ratios, failures in a row. Overdue running
+//! attempts count as slowdown too, and a very slow target gets one task at a time; see
+//! [`super::target_health`]. **Trade-off.** The weights of free resources and of failures are
+//! fixed, not optimal for each load.
 
 use crate::event::TargetEntry;
 use crate::message::TaskOrder;
 use crate::spec::Resources;
 
-/// No target counts as faster than this.
+/// The lower bound of a target's slowdown.
 const MIN_SLOWDOWN: f64 = 0.5;
-/// What a target that stays wholly free costs more than one that gets full.
+/// The added cost of a wholly free target over a full one.
 const FREE_WEIGHT: f64 = 0.5;
-/// What each failure in a row costs.
+/// The added cost of each failure in a row.
 const FAILURE_WEIGHT: f64 = 0.3;
 
-/// What the cost of a target depends on.
+/// The properties of a target that its cost depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Thousandths of a core that stay free beside the task.
+    /// Thousandths of a core that stay free besides the task.
     pub left_cpu: u32,
-    /// Thousandths of a core that the target has.
+    /// Thousandths of a core of the target.
     pub capacity_cpu: u32,
-    /// How many times its estimate an attempt takes there.
+    /// The ratio of running time to estimate there.
     pub slowdown: f64,
-    /// Failures in a row.
+    /// The number of failures in a row.
     pub failures: u32,
-    /// How many times as long the task takes there since its data lies in another rack, 1 if
-    /// it doesn't.
+    /// The factor on the running time if the task's data lies in another rack, otherwise 1.
     pub far_slowdown: f64,
 }
 
-/// Returns what a task costs on a target; the least is chosen.
+/// Returns the cost of a task on a target; the target with the lowest is chosen.
 #[must_use]
 pub fn cost(target: &Candidate) -> f64 {
-    let size = target.capacity_cpu.max(1);
+    let capacity_cpu = target.capacity_cpu.max(1);
     (target.slowdown * target.far_slowdown).max(MIN_SLOWDOWN)
-        + FREE_WEIGHT * f64::from(target.left_cpu) / f64::from(size)
+        + FREE_WEIGHT * f64::from(target.left_cpu) / f64::from(capacity_cpu)
         + FAILURE_WEIGHT * f64::from(target.failures)
 }
 
-/// Returns whether a task may run on a target, now or once it has the resources.
+/// Returns whether a task may run on a target, as soon as that has the resources.
 #[must_use]
 pub fn suits(entry: &TargetEntry, order: &TaskOrder) -> bool {
     let required = order.requirement.as_ref();
@@ -57,7 +55,7 @@
         && !order.avoid.contains(&entry.id)
 }
 
-/// Returns whether a target could ever run a task that had `most` at its most.
+/// Returns whether a target with `most` as its largest capacity could ever run a task.
 #[must_use]
 pub fn could_run(entry: &TargetEntry, most: &Resources, order: &TaskOrder) -> bool {
     suits(entry, order) && most.fits(&order.resources)
@@ -70,19 +68,22 @@
     rack.is_some_and(|rack| !entry.labels.contains(rack))
 }
 
-/// Resources for which nothing was found in one pass. In its course resources
-/// only become fewer, so that what needs as much isn't asked for again.
+/// Remembers needs for which a search in one pass found nothing. Resources only become fewer during
+/// a pass, so larger needs aren't searched for again.
 #[derive(Debug, Default)]
 pub struct FailedSearches(Vec<Resources>);
 
 impl FailedSearches {
-    /// Returns whether `needed` may be found: asks only if no smaller need was
-    /// refused.
-    pub fn may_find(&mut self, needed: &Resources, ask: impl FnOnce(&Resources) -> bool) -> bool {
-        if self.0.iter().any(|refused| needed.fits(refused)) {
+    /// Returns whether `search` finds `needed`; searches only if no smaller need failed before.
+    pub fn may_find(
+        &mut self,
+        needed: &Resources,
+        search: impl FnOnce(&Resources) -> bool,
+    ) -> bool {
+        if self.0.iter().any(|failed| needed.fits(failed)) {
             return false;
         }
-        let found = ask(needed);
+        let found = search(needed);
         if !found {
             self.0.push(*needed);
         }
--- a/crates/dispatcher-core/src/rules/target_health.rs
+++ b/crates/dispatcher-core/src/rules/target_health.rs
@@ -1,27 +1,27 @@
-//! When a target gets no tasks, or one at a time, though it is listed.
+//! Decides when a listed target gets no tasks, or one at a time.
 //!
 //! **Rule.**
-//! - *Silent*: `MISSED_CALLS_TO_SILENCE` calls in a row had no reply. It gets nothing
-//!   until it answers. One lost answer is not silence.
-//! - *Suspended*: `FAILURES_TO_SUSPEND` attempts in a row failed, it refused a
-//!   start, or an attempt overran. It gets nothing for 1 s, doubling up to 8 s.
-//! - *On trial*: after a suspension, and while it takes `ONE_TASK_SLOWDOWN` times
-//!   the estimates, it gets one task at a time: one shows whether it is well.
+//! - *Silent*: `MISSED_CALLS_TO_SILENCE` calls in a row had no reply. The target gets nothing until
+//!   it answers. One lost answer is not silence.
+//! - *Suspended*: `FAILURES_TO_SUSPEND` attempts in a row failed, it refused a start, or an attempt
+//!   overran. It gets nothing for 1 s, doubling up to 8 s.
+//! - *On trial*: after a suspension, and while it takes `ONE_TASK_SLOWDOWN` times the estimates, it
+//!   gets one task at a time to show whether it is healthy.
 //! - *Slow*: a moving average of running times over estimates raises its cost; see
-//!   [`super::target_choice`]. Attempts that are overdue count at once.
-//! - An attempt *overruns* after `OVERRUN_FACTOR` times its estimate and
-//!   `OVERRUN_MARGIN_MS`: it is stopped and tried elsewhere.
-//! - Where running times are learned, [`super::target_speed`] says how slow it is instead, and
-//!   [`super::running_time`] what overruns. It gets one task at a time while it is surely so
-//!   slow, and is suspended for an overrun only if no other attempt has ended well there for
-//!   half of its time. Failures count then as [`super::failure_source`] says.
+//!   [`super::target_choice`]. Overdue attempts count at once.
+//! - An attempt *overruns* after `OVERRUN_FACTOR` times its estimate and `OVERRUN_MARGIN_MS`: it is
+//!   stopped and retried elsewhere.
+//! - Where running times are learned, [`super::target_speed`] determines how slow it is instead,
+//!   and [`super::running_time`] what overruns. It gets one task at a time while it is certainly
+//!   that slow, and is suspended for an overrun only if no other attempt has ended successfully
+//!   there for half of the overrunning attempt's time. Failures then count by
+//!   [`super::failure_source`].
 //!
-//! **Inputs.** Replies, ends of attempts, estimates in ms. **Reason.** Ending overruns
-//! sooner would help where targets are slow, and lose more where they carry orders out late.
-//! Attempts aren't moved off targets that others show to be slow: the targets would be missed
-//! once they are well again.
-//! **Gives up.** A task on a hung target that tells no progress waits for 4 times its
-//! estimate; where it does, see [`super::progress`].
+//! **Inputs.** Replies, ends of attempts, estimates in ms. **Reason.** A shorter overrun limit
+//! would help where targets are slow, and lose more where they start tasks late. Attempts aren't
+//! moved off a slow target, since its capacity would be missing once it is healthy again.
+//! **Trade-off.** A task on a hung target that reports no progress waits for 4 times its estimate;
+//! otherwise see [`super::progress`].
 
 use crate::Millis;
 
@@ -37,23 +37,24 @@
 const MISSED_CALLS_TO_SILENCE: u32 = 2;
 /// The weight of the last attempt in the moving average of the slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.4;
-/// One attempt moves the average as if it had taken between these many times its estimate.
+/// The bounds of the ratio of running time to estimate that one attempt adds to the average.
 const SLOWDOWN_RANGE: (f64, f64) = (0.2, 5.0);
-/// A running attempt shows a slow target after this many times its estimate: few attempts on
-/// well targets take as long.
+/// A running attempt shows a slow target after this many times its estimate: on healthy targets few
+/// take as long.
 const OVERDUE_FACTOR: f64 = 1.8;
-/// Estimates of short tasks are off by this much besides, in ms.
+/// The time subtracted from an attempt's running time before that, in ms: estimates of short tasks
+/// are off by as much.
 const OVERDUE_MARGIN_MS: f64 = 30.0;
-/// A target of this slowdown gets one task at a time.
+/// A target with at least this slowdown gets one task at a time.
 pub const ONE_TASK_SLOWDOWN: f64 = 3.0;
 /// An attempt overruns after this many times its estimate.
 const OVERRUN_FACTOR: f64 = 4.0;
-/// An attempt overruns no sooner than this beyond that, in ms.
+/// The time added to that, in ms.
 const OVERRUN_MARGIN_MS: Millis = 150;
-/// A slow target's attempts are given up to this many times as long.
+/// The largest slowdown of a target that extends the time until an attempt overruns.
 const MAX_OVERRUN_SLOWDOWN: f64 = 2.0;
 
-/// What is known of a target's health.
+/// The health of a target, by its replies and the ends of attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetHealth {
     /// Failures in a row.
@@ -61,7 +62,7 @@
     /// Suspensions since the last success.
     suspensions: u32,
     suspended_until: Millis,
-    /// Moving average of running time over estimate.
+    /// The moving average of running time over estimate.
     slowdown: f64,
     /// Calls in a row without reply.
     misses: u32,
@@ -82,21 +83,22 @@
 }
 
 impl TargetHealth {
-    /// Records an attempt that is done.
+    /// Records a successful attempt.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.suspensions = 0;
     }
 
-    /// Records how long an attempt took that is done. Where running times are learned this isn't
-    /// told: no long task makes the target suspect; see [`super::target_speed`].
+    /// Records the running time of a successful attempt. Not called where running times are
+    /// learned, since a long task doesn't show that the target is slow; see
+    /// [`super::target_speed`].
     pub fn record_running_time(&mut self, took_ms: Millis, estimate_ms: Millis) {
         let (least, most) = SLOWDOWN_RANGE;
         let ratio = took_ms as f64 / estimate_ms.max(1) as f64;
         self.slowdown += SLOWDOWN_WEIGHT * (ratio.clamp(least, most) - self.slowdown);
     }
 
-    /// Records a failure, and suspends the target after some in a row.
+    /// Records a failed attempt, and suspends the target after several in a row.
     pub fn record_failure(&mut self, now: Millis) {
         self.failures += 1;
         if self.failures >= FAILURES_TO_SUSPEND && self.suspended_until <= now {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Suspends the target.
+    /// Suspends the target, longer with each suspension since the last success.
     pub fn suspend(&mut self, now: Millis) {
         let length = FIRST_SUSPENSION_MS << self.suspensions.min(MAX_SUSPENSION_DOUBLINGS);
         self.suspended_until = now + length.min(MAX_SUSPENSION_MS);
@@ -118,11 +120,11 @@
         self.misses = 0;
     }
 
-    /// Records a call without reply; returns whether the target is silent. One that
-    /// isn't held yet (`held`) is silent after one miss.
-    pub fn record_missed_call(&mut self, now: Millis, held: bool) -> bool {
+    /// Records a call without reply; returns whether the target is silent. One whose lease isn't
+    /// held yet (`is_held`) is silent after one.
+    pub fn record_missed_call(&mut self, now: Millis, is_held: bool) -> bool {
         self.misses += 1;
-        let silent = self.misses >= MISSED_CALLS_TO_SILENCE || !held;
+        let silent = self.misses >= MISSED_CALLS_TO_SILENCE || !is_held;
         if silent {
             self.silent_since.get_or_insert(now);
         }
@@ -135,12 +137,12 @@
         self.misses > 0
     }
 
-    /// Forgets that the target was silent: another host looks after it.
+    /// Clears the silence, when another host holds the target's lease.
     pub fn clear_silence(&mut self) {
         self.silent_since = None;
     }
 
-    /// Returns since when the target is silent, if it is.
+    /// Returns since when the target has been silent, if it is.
     #[must_use]
     pub fn silent_since(&self) -> Option<Millis> {
         self.silent_since
@@ -152,15 +154,15 @@
         self.failures
     }
 
-    /// Returns whether a task may be started; `idle` says that none runs there.
+    /// Returns whether a task may be started; `idle` is set if none runs there.
     #[must_use]
     pub fn accepts_task(&self, now: Millis, idle: bool) -> bool {
-        let well = self.failures < FAILURES_TO_SUSPEND && self.slowdown < ONE_TASK_SLOWDOWN;
-        self.silent_since.is_none() && self.suspended_until <= now && (well || idle)
+        let healthy = self.failures < FAILURES_TO_SUSPEND && self.slowdown < ONE_TASK_SLOWDOWN;
+        self.silent_since.is_none() && self.suspended_until <= now && (healthy || idle)
     }
 
-    /// Returns how many times its estimate an attempt takes here: the moving
-    /// average, or what overdue attempts show if that is more.
+    /// Returns the ratio of running time to estimate here: the moving average, or the largest that
+    /// overdue attempts show if that is more.
     #[must_use]
     pub fn slowdown(&self, running: impl Iterator<Item = RunningTime>) -> f64 {
         let overdue = running.map(|attempt| {
@@ -176,7 +178,7 @@
         self.slowdown.max(overdue)
     }
 
-    /// Returns after how long an attempt overruns, in ms.
+    /// Returns after how many ms an attempt overruns.
     #[must_use]
     pub fn overrun_after_ms(&self, estimate_ms: Millis) -> Millis {
         let slowdown = self.slowdown.clamp(1.0, MAX_OVERRUN_SLOWDOWN);
@@ -185,10 +187,10 @@
     }
 }
 
-/// How long an attempt has been running.
+/// The running time of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningTime {
-    /// Time since its start was sent, in ms.
+    /// The time since its start was sent, in ms.
     pub since_ms: Millis,
     /// Its estimate, in ms.
     pub estimate_ms: Millis,
--- a/crates/dispatcher-core/src/rules/target_speed.rs
+++ b/crates/dispatcher-core/src/rules/target_speed.rs
@@ -1,81 +1,85 @@
-//! How slow a target is beside others, apart from which tasks it happened to run.
+//! Estimates how slow a target is compared with others, independent of which tasks it happened to
+//! run.
 //!
-//! **Rule.** For each target, a *belief*: how likely it is that tasks take so many times as long
-//! there as on an ordinary target, in steps of a third of an octave from 0.4 to 10. Each end
-//! multiplies it by how many tasks of its kind take so long ([`super::running_time`]): where some
-//! are long by nature a long one says little, where none is it says much. With time the
-//! belief returns, by a third in 2 s, to what the target was for long, and to what any
-//! target may be: one that turned slow gets tasks again, and a change is believed soon. Attempts
-//! that still run count by their pace where progress is told, and more if that has changed,
-//! else by having lasted so long; they are reckoned in when asked, and not kept. A target
-//! without ends is believed to be like those of its labels and size. The slowdown is the belief's mean, in logarithms.
+//! **Rule.** For each target, a probability *distribution* of its slowdown: the ratio of running
+//! times there to those on an ordinary target, in steps of a third of an octave from 0.4 to 10.
+//! Each end multiplies it by the likelihood of that running time for its kind
+//! ([`super::running_time`]): a long end says little where some tasks are long by nature, and much
+//! where none is. Over some seconds the distribution returns to the average of the target's
+//! long-term distribution and the prior of all targets, so that a target that became slow gets
+//! tasks again, and a change is detected early. Running attempts count by their pace where progress
+//! is reported, and more if that pace has changed, otherwise by how long they have run; they are
+//! included in each query, and not stored. A target without ends is assumed to be like those of its
+//! labels and size. The slowdown is the mean of the distribution, in logarithms.
 //!
-//! **Inputs.** Ratios of running time to estimate, with distance of data taken out; ms. **Reason.**
-//! An average of ratios is moved by one odd task; a median of the last few forgets nothing at
-//! once, and doesn't tell a kind with long tasks from one without. What is common to
-//! all targets is their tasks', not theirs: see [`common_slowdown`]. **Gives up.** A hall in which all
-//! targets turn slow at once is taken for work that has become longer, until others are compared.
+//! **Inputs.** Ratios of running time to estimate, with the distance of data factored out; ms.
+//! **Reason.** An average of ratios is moved by one odd task; a median of the last few loses old
+//! values at once, and can't tell a kind with long tasks from one without. What all targets have in
+//! common is due to their tasks; see [`common_slowdown`]. **Trade-off.** A hall in which all
+//! targets become slow at once is taken for work that has become longer, until others are compared.
 
 use super::running_time::{RunningTimes, STEPS_PER_OCTAVE};
 use crate::Millis;
 
-/// Steps of the belief, as wide as those of running times.
+/// Steps of the distribution, as wide as those of running times.
 const STEPS: usize = 15;
-/// Steps of the belief below a slowdown of 1.
+/// Steps of the distribution below a slowdown of 1.
 const STEPS_BELOW_ONE: usize = 4;
-/// A belief returns by two thirds in this time, in ms: a target's trouble lasts for seconds, and
-/// one that isn't used shows nothing.
+/// The time in which a distribution returns by two thirds, in ms: a target's trouble lasts for
+/// seconds, and an unused target provides no ends.
 const DECAY_MS: f64 = 5_000.0;
-/// By so much an end moves what the target is for long: some sixty ends count.
+/// The weight of one end in the long-term distribution: some sixty ends count.
 const LONG_TERM_WEIGHT: f32 = 1.0 / 64.0;
-/// How much a belief returns to what any target may be, the rest to what it was for long.
+/// The share of the prior in what a distribution returns to; the rest is the long-term
+/// distribution.
 const PRIOR_SHARE: f32 = 0.5;
-/// The part of attempts that change their pace on a target that doesn't.
+/// The share of attempts that change their pace on a target that doesn't.
 const UNEVEN_SHARE: f64 = 0.02;
-/// How many ends it takes for a target to count for others of its kind, or for what is common.
+/// The number of ends from which a target counts for similar ones, or for the common slowdown.
 const MIN_ENDS: u32 = 8;
-/// How many targets it takes to say what is common to them.
+/// The number of targets from which a common value is derived.
 const MIN_TARGETS: usize = 3;
-/// So many steps are a factor of 1.4.
+/// The distance in steps within which slowdowns count as equal: a factor of 1.4.
 const NEAR_STEPS: f32 = 1.5;
 
-/// The likelihood of each slowdown.
+/// The probability of each slowdown.
 type Distribution = [f32; STEPS];
 
-/// How slow a target is taken to be.
+/// The estimated slowdown of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slowdown {
-    /// How many times as long tasks take there as on an ordinary target.
+    /// The ratio of running times there to those on an ordinary target.
     pub factor: f64,
-    /// How sure that is, from 0 to 1: the likelihood that it is right to a factor of 1.4.
+    /// The probability that the factor is right within a factor of 1.4.
     pub certainty: f64,
 }
 
-/// What an attempt that still runs shows.
+/// The evidence of an attempt that still runs.
 #[derive(Clone, Copy, Debug)]
 pub enum Running<'a> {
-    /// It tells its progress.
+    /// Its target reports its progress.
     AtPace {
         /// The running times of its kind.
         times: &'a RunningTimes,
-        /// How many times its estimate all of its work takes at its latest pace.
+        /// The time for all of its work at its latest pace, as a ratio to its estimate.
         ratio: f64,
-        /// By how many times it has become slower since it began, if it has.
+        /// By how many times it has become slower than its fastest pace, if it counts as slowed.
         slowed_by: Option<f64>,
     },
-    /// It has run for so many times its estimate, and tells no progress.
+    /// No progress is reported. The running times of its kind, and its running time so far as a
+    /// ratio to its estimate.
     WithoutProgress(&'a RunningTimes, f64),
 }
 
-/// What is known of a target's speed.
+/// The distribution of a target's slowdown.
 #[derive(Clone, Debug)]
 pub struct TargetSpeed {
     distribution: Distribution,
-    /// What it was for long.
+    /// The long-term average of the distribution.
     long_term: Distribution,
-    /// When the belief last returned towards that, in ms.
+    /// When the last end was recorded, in ms.
     at: Millis,
-    /// How many ends it rests on.
+    /// The number of recorded ends.
     ends: u32,
 }
 
@@ -91,34 +95,34 @@
 }
 
 impl TargetSpeed {
-    /// Returns what is believed of a target that is like others.
+    /// Creates the speed of a target without ends from those of similar targets.
     #[must_use]
     pub fn from_similar<'a>(others: impl Iterator<Item = &'a Self>) -> Self {
         let known: Vec<&Self> = others.filter(|other| other.is_known()).collect();
         if known.len() < MIN_TARGETS {
             return Self::default();
         }
-        let mut lasting = [0.0; STEPS];
+        let mut long_term = [0.0; STEPS];
         for other in known {
-            for (sum, part) in lasting.iter_mut().zip(other.long_term) {
-                *sum += part;
+            for (sum, probability) in long_term.iter_mut().zip(other.long_term) {
+                *sum += probability;
             }
         }
-        let lasting = normalized(lasting);
+        let long_term = normalized(long_term);
         Self {
-            distribution: lasting,
-            long_term: lasting,
+            distribution: long_term,
+            long_term,
             ..Self::default()
         }
     }
 
-    /// Returns whether it rests on ends of its own.
+    /// Returns whether enough ends of its own were recorded.
     #[must_use]
     pub fn is_known(&self) -> bool {
         self.ends >= MIN_ENDS
     }
 
-    /// Takes an end in that took so many times its estimate.
+    /// Records an end with a ratio of running time to estimate.
     pub fn record_end(&mut self, now: Millis, times: &RunningTimes, ratio: f64) {
         self.distribution = self.decayed(now);
         self.at = self.at.max(now);
@@ -126,19 +130,19 @@
         apply_likelihood(&mut self.distribution, |slowdown| {
             times.likelihood(ratio / slowdown)
         });
-        for (lasting, recent) in self.long_term.iter_mut().zip(self.distribution) {
-            *lasting += LONG_TERM_WEIGHT * (recent - *lasting);
+        for (long_term, recent) in self.long_term.iter_mut().zip(self.distribution) {
+            *long_term += LONG_TERM_WEIGHT * (recent - *long_term);
         }
     }
 
-    /// Returns how slow the target is, with what its running attempts show.
+    /// Returns the slowdown of the target, with the evidence of its running attempts.
     #[must_use]
     pub fn slowdown<'a>(
         &self,
         now: Millis,
         running: impl Iterator<Item = Running<'a>>,
     ) -> Slowdown {
-        let mut belief = self.decayed(now);
+        let mut distribution = self.decayed(now);
         for shown in running {
             match shown {
                 Running::AtPace {
@@ -146,43 +150,45 @@
                     ratio,
                     slowed_by,
                 } => {
-                    apply_likelihood(&mut belief, |slowdown| times.likelihood(ratio / slowdown));
+                    apply_likelihood(&mut distribution, |slowdown| {
+                        times.likelihood(ratio / slowdown)
+                    });
                     if let Some(by) = slowed_by {
                         let shown = slowdown_at(f64::from(mean(&self.long_term))) * by;
-                        apply_likelihood(&mut belief, |slowdown| {
+                        apply_likelihood(&mut distribution, |slowdown| {
                             pace_change_likelihood(shown, slowdown)
                         });
                     }
                 }
                 Running::WithoutProgress(times, ratio) => {
-                    apply_likelihood(&mut belief, |slowdown| {
+                    apply_likelihood(&mut distribution, |slowdown| {
                         times.share_longer_than(ratio / slowdown)
                     });
                 }
             }
         }
-        let mean = mean(&belief);
+        let mean = mean(&distribution);
         let near = (0..STEPS).filter(|step| (*step as f32 - mean).abs() <= NEAR_STEPS);
         Slowdown {
             factor: slowdown_at(f64::from(mean)),
-            certainty: f64::from(near.map(|step| belief[step]).sum::<f32>()),
+            certainty: f64::from(near.map(|step| distribution[step]).sum::<f32>()),
         }
     }
 
-    /// Returns the belief as it has returned since the last end.
+    /// Returns the distribution after its return towards long-term values since the last end.
     fn decayed(&self, now: Millis) -> Distribution {
         let since = now.saturating_sub(self.at) as f64;
-        let kept = (-since / DECAY_MS).exp() as f32;
+        let factor = (-since / DECAY_MS).exp() as f32;
         let any = prior();
         std::array::from_fn(|step| {
             let rest = PRIOR_SHARE * any[step] + (1.0 - PRIOR_SHARE) * self.long_term[step];
-            kept * self.distribution[step] + (1.0 - kept) * rest
+            factor * self.distribution[step] + (1.0 - factor) * rest
         })
     }
 }
 
-/// Returns what is common to targets' slowdowns, which is their tasks' and not theirs: the
-/// median of those known, and 1 where they are few.
+/// Returns the common slowdown of targets, which is due to their tasks: the median of the known
+/// ones, and 1 for too few.
 #[must_use]
 pub fn common_slowdown(known: impl Iterator<Item = f64>) -> f64 {
     let mut known: Vec<f64> = known.collect();
@@ -193,8 +199,8 @@
     known[known.len() / 2]
 }
 
-/// Returns what any target may be: most are within a factor of 1.6 of the ordinary, and few
-/// are many times slower.
+/// Returns the prior of all targets: most are within a factor of 1.6 of the ordinary, and few are
+/// many times slower.
 fn prior() -> Distribution {
     normalized(std::array::from_fn(|step| {
         let off = step as f32 - STEPS_BELOW_ONE as f32;
@@ -202,27 +208,31 @@
     }))
 }
 
-/// Multiplies a belief by what is seen.
-fn apply_likelihood(belief: &mut Distribution, likelihood: impl Fn(f64) -> f64) {
-    for (step, part) in belief.iter_mut().enumerate() {
-        *part *= likelihood(slowdown_at(step as f64)) as f32;
+/// Multiplies a distribution by a likelihood, and normalises it.
+fn apply_likelihood(distribution: &mut Distribution, likelihood: impl Fn(f64) -> f64) {
+    for (step, probability) in distribution.iter_mut().enumerate() {
+        *probability *= likelihood(slowdown_at(step as f64)) as f32;
     }
-    *belief = normalized(*belief);
+    *distribution = normalized(*distribution);
 }
 
-/// Returns a belief whose parts sum to 1; nothing is ruled out for ever.
-fn normalized(belief: Distribution) -> Distribution {
-    let sum: f32 = belief.iter().sum();
-    belief.map(|part| (part / sum).max(f32::EPSILON))
+/// Returns a distribution whose parts sum to 1; no probability is 0, so that nothing is ruled out
+/// for ever.
+fn normalized(distribution: Distribution) -> Distribution {
+    let sum: f32 = distribution.iter().sum();
+    distribution.map(|probability| (probability / sum).max(f32::EPSILON))
 }
 
-/// Returns the mean place of a belief, in steps.
-fn mean(belief: &Distribution) -> f32 {
-    let steps = belief.iter().enumerate();
-    steps.map(|(step, part)| step as f32 * part).sum()
+/// Returns the mean of a distribution, in steps.
+fn mean(distribution: &Distribution) -> f32 {
+    let steps = distribution.iter().enumerate();
+    steps
+        .map(|(step, probability)| step as f32 * probability)
+        .sum()
 }
 
-/// Returns how likely it is that an attempt's change shows one slowdown where it is another.
+/// Returns the likelihood that the changed pace of an attempt shows the slowdown `shown` on a
+/// target of slowdown `other`.
 fn pace_change_likelihood(shown: f64, other: f64) -> f64 {
     let steps = (shown / other).log2().abs() * STEPS_PER_OCTAVE;
     if steps <= f64::from(NEAR_STEPS) {
@@ -232,7 +242,7 @@
     }
 }
 
-/// Returns the slowdown at a place of the belief, counted in steps.
+/// Returns the slowdown at a position in the distribution, counted in steps.
 fn slowdown_at(step: f64) -> f64 {
     ((step - STEPS_BELOW_ONE as f64) / STEPS_PER_OCTAVE).exp2()
 }
--- a/crates/dispatcher-core/src/rules/waiting_order.rs
+++ b/crates/dispatcher-core/src/rules/waiting_order.rs
@@ -1,26 +1,24 @@
-//! Which waiting task goes first where the tasks of all hosts' callers wait together.
+//! Orders waiting tasks at a holder, where tasks of all hosts' callers wait together.
 //!
-//! **Rule.** What can still be on time or has begun goes before what will be late, and what
-//! is worth nothing any more goes last. Then by the urgency of the queue, but an urgency below
-//! its least share goes before more urgent ones. Within an urgency what has begun goes first,
-//! then by who is due ([`super::shares`]: queues, then halls of origin), then by the latest
-//! start that keeps the class. Whether a task's owner is this host or a peer makes no
-//! difference.
+//! **Rule.** Tasks that can still be on time or whose job has started go before those that will be
+//! late; worthless ones go last. Then by the urgency of the queue, but an urgency below its minimum
+//! share goes before more urgent ones. Within an urgency, jobs that have started go first, then by
+//! virtual time ([`super::shares`]: queues, then halls of origin), then by the latest start that
+//! keeps the class. Whether a task's owner is this host or a peer makes no difference.
 //!
-//! A job is a unit: what has begun goes first within its urgency. By [`may_start_job`] a job would
-//! count as late as soon as the room until its latest start doesn't suffice for it and for what
-//! has begun; the dispatcher doesn't ask it, only tests of the rules do.
+//! A job is a unit: tasks of a started job go first within their urgency. By [`may_start_job`], a
+//! job would count as late as soon as the capacity until its latest start doesn't suffice for it
+//! and for the started jobs; only tests of the rules use this, not the dispatcher.
 //!
-//! **Inputs.** Class and slack in ms as [`super::priority`] reckons them, the queue, its
-//! urgency, the hall of origin, shares; for beginnings, work in core-ms and room in
-//! thousandths of a core. **Reason.** A late answer takes as much room as one on time and is
-//! worth less, whatever its queue. Among jobs on time and what has begun the urgency decides
-//! alone: if what has begun went first whatever its queue, or what has least slack, the long
-//! jobs of other queues would pass urgent short ones in an overload. Without the rule for
-//! beginnings jobs that need many targets begin at their latest start one task at a time, and
-//! end late. **Gives up.** A late urgent job isn't served while less urgent ones on time fill
-//! the room. What of a job began out of its share goes on; its queue and hall wait longer for
-//! the next.
+//! **Inputs.** Class and slack in ms from [`super::priority`], the queue, its urgency, the hall of
+//! origin, shares; for starting a job, work in core-ms and capacity in thousandths of a core.
+//! **Reason.** A late answer takes as much capacity as one on time and is worth less, in any queue.
+//! Among jobs on time and started ones the urgency decides alone: if started jobs of all queues, or
+//! those with the least slack, went first, the long jobs of other queues would delay urgent short
+//! ones in an overload. Without [`may_start_job`], jobs that need many targets start at their
+//! latest start one task at a time, and end late. **Trade-off.** A late urgent job isn't served
+//! while less urgent ones on time use all capacity. A job that was started beyond its share
+//! continues; its queue and hall wait longer for the next.
 
 use std::cmp::Ordering;
 
@@ -32,26 +30,26 @@
 /// A task that waits.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiting<'a> {
-    /// For whom it is to run.
+    /// The queue and hall on whose behalf it runs.
     pub origin: Origin<'a>,
-    /// Whether its job has begun, can be on time, will be late.
+    /// The class of its job.
     pub class: PriorityClass,
-    /// Time in ms from now until the latest start that keeps the class.
+    /// The time from now until the latest start that keeps the class, in ms.
     pub slack_ms: i64,
 }
 
 impl Waiting<'_> {
-    /// Returns whether it has begun or can be on time; shares are reckoned over these.
+    /// Returns whether its job has started or can be on time; shares are computed over these.
     #[must_use]
     pub fn counts_for_shares(&self) -> bool {
         self.class <= PriorityClass::OnTime
     }
 }
 
-/// What decides first.
+/// The worth of an answer, which decides first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 enum Worth {
-    /// The job has begun, or its answer can be on time.
+    /// The job has started, or its answer can be on time.
     Whole,
     /// The answer will be late.
     Part,
@@ -68,7 +66,7 @@
     }
 }
 
-/// The place of a waiting task; the least goes first.
+/// The rank of a waiting task; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rank {
     worth: Worth,
@@ -79,7 +77,7 @@
     slack_ms: i64,
 }
 
-/// Returns the place of a waiting task.
+/// Returns the rank of a waiting task.
 #[must_use]
 pub fn rank(task: &Waiting<'_>, shares: &Shares) -> Rank {
     let urgency = task.origin.urgency;
@@ -93,19 +91,19 @@
     }
 }
 
-/// Compares two waiting tasks; the lesser goes first. The dispatcher asks [`WaitingTasks`], which looks
-/// at many at a time; tests hold the two against each other.
+/// Compares two waiting tasks; the lesser goes first. The dispatcher uses [`WaitingTasks`], which
+/// compares many tasks at a time in the same order.
 #[must_use]
 pub fn compare(a: &Waiting<'_>, b: &Waiting<'_>, shares: &Shares) -> Ordering {
-    let places = rank(a, shares).partial_cmp(&rank(b, shares));
-    places.unwrap_or(Ordering::Equal)
+    let ranks = rank(a, shares).partial_cmp(&rank(b, shares));
+    ranks.unwrap_or(Ordering::Equal)
 }
 
 /// Waiting tasks of one origin and class, the least slack first.
 #[derive(Clone, Debug)]
 struct Group<'a> {
     first: Waiting<'a>,
-    /// Slack in ms and position.
+    /// Slack in ms and position of each task.
     tasks: Vec<(i64, usize)>,
 }
 
@@ -118,7 +116,7 @@
             && own.hall == other.hall
     }
 
-    /// Returns a task of the group.
+    /// Returns the task of the group with a slack.
     fn task(&self, slack_ms: i64) -> Waiting<'a> {
         Waiting {
             slack_ms,
@@ -127,25 +125,25 @@
     }
 }
 
-/// Waiting tasks in groups, so that who is due is looked up once for each group and not for
-/// each task.
+/// Waiting tasks grouped by origin and class, so that the virtual times are looked up once per
+/// group instead of once per task.
 #[derive(Clone, Debug, Default)]
 pub struct WaitingTasks<'a> {
     groups: Vec<Group<'a>>,
 }
 
 impl<'a> WaitingTasks<'a> {
-    /// Groups tasks; they are named by their position from here on.
+    /// Groups tasks; they are identified by their position in the iterator.
     #[must_use]
     pub fn new(tasks: impl Iterator<Item = Waiting<'a>>) -> Self {
-        let mut line = Self::default();
+        let mut waiting = Self::default();
         for (position, task) in tasks.enumerate() {
-            line.add(position, task);
+            waiting.add(position, task);
         }
-        for group in &mut line.groups {
+        for group in &mut waiting.groups {
             group.tasks.sort_unstable();
         }
-        line
+        waiting
     }
 
     fn add(&mut self, position: usize, task: Waiting<'a>) {
@@ -159,7 +157,7 @@
         }
     }
 
-    /// Returns for whom tasks wait that count for shares; see [`Shares::advance`].
+    /// Returns the origins of the tasks that count for shares; see [`Shares::advance`].
     pub fn origins(&self) -> impl Iterator<Item = Origin<'a>> + Clone + '_ {
         let counting = self
             .groups
@@ -168,8 +166,8 @@
         counting.map(|group| group.first.origin)
     }
 
-    /// Takes out the task that goes first of those that may start, and returns its position.
-    /// Who is due changes with each start: the next is asked for after it was recorded.
+    /// Removes the first task in order of those that may start, and returns its position. Each
+    /// start changes the virtual times, so it has to be recorded before the next call.
     pub fn take_first(
         &mut self,
         shares: &Shares,
@@ -182,9 +180,9 @@
             else {
                 continue;
             };
-            let place = rank(&group.task(*slack_ms), shares);
-            if first.is_none_or(|(least, ..)| place < least) {
-                first = Some((place, number, at));
+            let rank = rank(&group.task(*slack_ms), shares);
+            if first.is_none_or(|(least, ..)| rank < least) {
+                first = Some((rank, number, at));
             }
         }
         let (_, number, at) = first?;
@@ -196,10 +194,15 @@
     }
 }
 
-/// Returns whether a job may begin: `room_cpu` thousandths of a core do its `core_ms` and the
-/// `begun_core_ms` that are left of what has begun within `slack_ms`, until its latest start.
+/// Returns whether a job may start: `capacity_cpu` thousandths of a core can do its `core_ms` and
+/// the remaining `started_core_ms` of started jobs within `slack_ms`, until its latest start.
 #[must_use]
-pub fn may_start_job(core_ms: u64, begun_core_ms: u64, room_cpu: u32, slack_ms: Millis) -> bool {
-    let room = u64::from(room_cpu) * slack_ms / 1_000;
-    begun_core_ms + core_ms <= room
+pub fn may_start_job(
+    core_ms: u64,
+    started_core_ms: u64,
+    capacity_cpu: u32,
+    slack_ms: Millis,
+) -> bool {
+    let capacity_core_ms = u64::from(capacity_cpu) * slack_ms / 1_000;
+    started_core_ms + core_ms <= capacity_core_ms
 }
