--- a/crates/dispatcher-core/tests/assignment.rs
+++ b/crates/dispatcher-core/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Which host is to hold which target.
+//! Assignment of targets to hosts.
 
 use std::collections::HashMap;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_host_that_goes_moves_only_its_own_targets() {
+fn a_host_that_leaves_moves_only_its_own_targets() {
     let all = hosts(&[100, 250, 400, 100]);
     for target in 0..500 {
         let target = format!("target-{target}");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_hall_without_hosts_is_looked_after_by_others() {
+fn targets_of_a_hall_without_hosts_are_held_by_others() {
     let all = hosts(&[0, 100]);
     assert!(holder("target", "south", &all).is_some());
     assert!(holder("target", "north", &[]).is_none());
--- a/crates/dispatcher-core/tests/congestion.rs
+++ b/crates/dispatcher-core/tests/congestion.rs
@@ -1,4 +1,4 @@
-//! What a host takes for the fullness of its own link, and for a start without reply.
+//! The delay that a host attributes to its own link, and the timeout of starts.
 
 mod support;
 
@@ -7,7 +7,8 @@
 use gannetridge_dispatcher_core::{Event, Millis};
 use support::{case, peer_info, step, target, Rig};
 
-/// Replies of several peers in windows of 100 ms, the quickest of which took `least_ms`.
+/// Returns the delay after replies of several peers in windows of 100 ms, the quickest of which
+/// took `least_ms`.
 fn after_replies(least_ms: Millis, slow_peers_ms: Millis) -> LocalDelay {
     let mut delay = LocalDelay::default();
     for now in (0..500).step_by(20) {
@@ -17,26 +18,26 @@
     delay
 }
 
-case!(a_slow_peer_is_no_delay_of_this_host, {
+case!(a_slow_peer_does_not_count_as_local_delay, {
     assert_eq!(after_replies(4, 300).delay_ms(), 0);
     assert_eq!(after_replies(4, 300).extra_demand_interval_ms(), 0);
 });
 
-case!(what_delays_all_replies_is_this_hosts, {
+case!(a_delay_of_all_replies_counts_as_local, {
     let delay = after_replies(60, 300);
     assert_eq!(delay.delay_ms(), 50);
     assert_eq!(delay.extra_demand_interval_ms(), 400);
     assert_eq!(delay.extra_wait_ms(), 100);
 });
 
-case!(a_single_slow_reply_says_nothing, {
+case!(a_single_slow_reply_is_ignored, {
     let mut delay = LocalDelay::default();
     delay.observe(0, 200);
     delay.observe(150, 200);
     assert_eq!(delay.delay_ms(), 0);
 });
 
-case!(a_delay_is_over_with_the_next_quick_replies, {
+case!(quick_replies_end_the_delay, {
     let mut delay = after_replies(60, 60);
     for now in (500..800).step_by(20) {
         delay.observe(now, 3);
@@ -44,7 +45,8 @@
     assert_eq!(delay.delay_ms(), 0);
 });
 
-/// Demands that a host whose replies take `took_ms` sends in a second to its five peers.
+/// Returns the number of demands that a host whose replies take `took_ms` sends in a second to its
+/// five peers.
 fn demands_in_a_second(took_ms: Millis) -> usize {
     let mut rig = Rig::new();
     let peers = (3..8).map(|port| HostInfo {
@@ -75,9 +77,8 @@
     demands
 }
 
-case!(a_full_link_carries_fewer_demands, {
+case!(fewer_demands_are_sent_over_a_full_link, {
     let (free, full) = (demands_in_a_second(2), demands_in_a_second(80));
-    // Before, both sent 55.
     assert!(free >= 45, "{free}");
     assert!(
         full <= 25,
@@ -85,26 +86,26 @@
     );
 });
 
-case!(starts_are_waited_for_as_slow_replies_take, {
+case!(the_start_timeout_follows_slow_replies, {
     let mut quick = StartReplyTimes::default();
     assert_eq!(quick.timeout_ms(), 150, "nothing is known");
     for _ in 0..400 {
         quick.record_reply(3);
     }
     assert_eq!(quick.timeout_ms(), 40);
-    let mut narrow = quick;
-    narrow.record_reply(30);
-    assert_eq!(narrow.timeout_ms(), 120, "one slow reply is enough");
+    let mut slow_link = quick;
+    slow_link.record_reply(30);
+    assert_eq!(slow_link.timeout_ms(), 120, "one slow reply is enough");
 });
 
-case!(one_lost_order_in_twenty_leaves_the_wait_short, {
+case!(one_lost_reply_in_twenty_keeps_the_start_timeout_short, {
     let mut replies = StartReplyTimes::default();
     for _ in 0..100 {
         (0..19).for_each(|_| replies.record_reply(3));
         replies.record_missing_reply();
     }
     assert!(replies.timeout_ms() <= 60, "{}", replies.timeout_ms());
-    // Where none replies in time, the wait may be too short.
+    // Without any reply in time, the timeout may be too short.
     (0..20).for_each(|_| replies.record_missing_reply());
     assert_eq!(replies.timeout_ms(), 150);
 });
--- a/crates/dispatcher-core/tests/failure_source.rs
+++ b/crates/dispatcher-core/tests/failure_source.rs
@@ -1,4 +1,4 @@
-//! Whether failures are a queue's or a target's.
+//! Whether failures count against a queue or a target.
 
 mod support;
 
@@ -10,8 +10,9 @@
 use gannetridge_wire::Name;
 use support::{case, ended, settings, step, target, Rig};
 
-/// How the kind's last attempts ended on targets, `f` for failed; the first one's failed now.
-fn blames_first(ends: &str) -> bool {
+/// Returns whether a failure on the first target counts against it, given how the kind's last
+/// attempts ended on each target: `f` for failed, `d` for done.
+fn counts_against_first(ends: &str) -> bool {
     let name = |place: usize| Name::from(format!("t{place}"));
     let mut recent = RecentOutcomes::default();
     for (place, end) in ends.bytes().enumerate() {
@@ -20,21 +21,21 @@
     recent.counts_against(200, &name(0))
 }
 
-macro_rules! blamed {
-    ($($name:ident: $ends:expr => $blamed:expr;)+) => {
-        $(case!($name, { assert_eq!(blames_first($ends), $blamed); });)+
+macro_rules! failure_counts {
+    ($($name:ident: $ends:expr => $counts:expr;)+) => {
+        $(case!($name, { assert_eq!(counts_against_first($ends), $counts); });)+
     };
 }
-blamed! {
-    one_target_alone_is_blamed: "f" => true;
-    two_others_say_nothing: "fff" => true;
-    a_kind_that_fails_on_most_is_its_queues: "fffd" => false;
-    a_target_among_well_ones_is_blamed: "fddddddd" => true;
-    several_faulty_targets_are_blamed: "fffddddd" => true;
-    the_latest_targets_count: "fffffddddddddd" => true;
+failure_counts! {
+    a_failure_on_a_single_target_counts_against_it: "f" => true;
+    two_other_targets_are_too_few_to_compare: "fff" => true;
+    failures_on_most_targets_count_against_the_queue: "fffd" => false;
+    a_failure_counts_if_other_targets_succeed: "fddddddd" => true;
+    failures_on_a_minority_of_targets_count: "fffddddd" => true;
+    only_the_latest_targets_are_considered: "fffffddddddddd" => true;
 }
 
-case!(what_was_long_ago_says_nothing, {
+case!(old_outcomes_are_ignored, {
     let mut recent = RecentOutcomes::default();
     for place in 0..6 {
         recent.record(100, &Name::from(format!("t{place}")), true);
@@ -42,14 +43,14 @@
     assert!(recent.counts_against(6_000, &"t0".into()));
 });
 
-/// How many of six targets take a task of another kind after a queue's tasks failed on all.
-fn left_after_failures(way: RunningTimes) -> usize {
+/// Returns how many of six targets get a task of another kind after a queue's tasks failed on all.
+fn usable_targets_after_failures(running_times: RunningTimes) -> usize {
     let entries: Vec<_> = (0..6)
         .map(|place| target(&format!("t{place}"), 8))
         .collect();
     let mut host = settings();
     host.scheduling = Scheduling {
-        running_times: way,
+        running_times,
         ..Scheduling::default()
     };
     let mut rig = Rig::holding_targets_with(host, &entries);
@@ -82,7 +83,7 @@
     id.task.starts_with("000000000000006")
 }
 
-/// Has all that is started fail at once.
+/// Lets all started attempts fail at once.
 fn fail_all(rig: &mut Rig, ended_so_far: &mut u64) {
     let calls = std::mem::take(&mut rig.calls);
     let (starts, renewals): (Vec<_>, Vec<_>) = calls
@@ -107,12 +108,15 @@
     }
 }
 
-case!(a_queue_that_fails_anywhere_leaves_targets_to_others, {
-    assert_eq!(
-        left_after_failures(RunningTimes::Estimated),
-        0,
-        "the case is one"
-    );
-    let left = left_after_failures(RunningTimes::Learned);
-    assert!(left >= 3, "{left}");
-});
+case!(
+    a_queue_that_fails_everywhere_does_not_suspend_all_targets,
+    {
+        assert_eq!(
+            usable_targets_after_failures(RunningTimes::Estimated),
+            0,
+            "all targets are suspended without learning"
+        );
+        let usable = usable_targets_after_failures(RunningTimes::Learned);
+        assert!(usable >= 3, "{usable}");
+    }
+);
--- a/crates/dispatcher-core/tests/far_racks.rs
+++ b/crates/dispatcher-core/tests/far_racks.rs
@@ -1,4 +1,4 @@
-//! Where tasks go whose data lies in one rack.
+//! The choice of a target for tasks whose data lies in one rack.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use support::{case, settings, step, target, Rig};
 
 /// Starts one task whose data lies in rack r1, on a host with a wholly free target there and a
-/// fuller one in rack r2; returns the target that it went to.
-fn target_of(far_slowdown: f64) -> String {
+/// fuller one in rack r2; returns the target that it was started on.
+fn chosen_target(far_slowdown: f64) -> String {
     let mut far = target("far", 16);
     far.labels = vec!["a".into(), "r2".into()];
     let host = Settings {
@@ -24,9 +24,9 @@
     rig.starts().pop().expect("a start").1
 }
 
-case!(a_rack_without_the_data_costs_what_the_deployment_says, {
-    assert_eq!(target_of(2.0), "near");
-    assert_eq!(target_of(1.5), "near");
-    // Where distance hardly matters the fuller target is kept full.
-    assert_eq!(target_of(1.05), "far");
+case!(the_cost_of_a_far_rack_follows_the_setting, {
+    assert_eq!(chosen_target(2.0), "near");
+    assert_eq!(chosen_target(1.5), "near");
+    // Where distance hardly matters, the fuller target is filled first.
+    assert_eq!(chosen_target(1.05), "far");
 });
--- a/crates/dispatcher-core/tests/holder_choice.rs
+++ b/crates/dispatcher-core/tests/holder_choice.rs
@@ -1,4 +1,4 @@
-//! Which holder a waiting task is handed to, under loads that old news hide.
+//! The choice of a holder for a waiting task, also under loads that old updates hide.
 
 #[path = "support/holders.rs"]
 mod holders;
@@ -51,13 +51,13 @@
 
 fn chosen(
     holders: &[HolderView],
-    latest_begin_ms: Millis,
+    latest_start_ms: Millis,
 ) -> Option<(usize, Distance, ExpectedStart)> {
-    let choice = choose(&TASK, holders, latest_begin_ms);
+    let choice = choose(&TASK, holders, latest_start_ms);
     choice.map(|choice| (choice.holder, choice.distance, choice.start))
 }
 
-case!(a_task_waits_near_its_data_while_that_ends_sooner, {
+case!(a_task_waits_near_its_data_if_that_ends_sooner, {
     let near = |ms| {
         [
             holder(wait(ms), Availability::None),
@@ -68,10 +68,10 @@
     let spills = Some((1, Distance::Far, ExpectedStart::Immediate));
     assert_eq!(chosen(&near(90), 1_000), waits);
     assert_eq!(chosen(&near(110), 1_000), spills);
-    assert_eq!(chosen(&near(90), 50), spills, "it can't wait so long");
+    assert_eq!(chosen(&near(90), 50), spills, "the wait is too long");
 });
 
-case!(another_hall_has_to_be_clearly_sooner, {
+case!(another_hall_is_chosen_only_if_clearly_sooner, {
     let takes = |own, other| {
         let holders = [
             holder(wait(own), Availability::None),
@@ -83,7 +83,7 @@
     assert_eq!([takes(100, 50), takes(40, 0)], [1, 1]);
 });
 
-case!(nothing_is_chosen_that_is_expected_to_begin_too_late, {
+case!(a_holder_with_too_late_a_start_is_not_chosen, {
     let holders = [
         holder(wait(120), wait(100)),
         elsewhere(Availability::None, 0),
@@ -93,31 +93,31 @@
     assert_eq!(chosen(&holders, 101), far);
 });
 
-case!(a_clock_to_ask_for_or_a_further_request_come_later, {
-    let takes_if_one = |differs: fn(&mut HolderView)| {
+case!(a_clock_request_or_an_extra_request_is_avoided, {
+    let chosen_if_one = |differs: fn(&mut HolderView)| {
         [0, 1].map(|at| {
             let mut holders = [holder(FREE, Availability::None); 2];
             differs(&mut holders[at]);
             chosen(&holders, 1_000).expect("a holder").0
         })
     };
-    assert_eq!(takes_if_one(|holder| holder.stale_clock = true), [1, 0]);
-    assert_eq!(takes_if_one(|holder| holder.extra_request = false), [0, 1]);
+    assert_eq!(chosen_if_one(|holder| holder.stale_clock = true), [1, 0]);
+    assert_eq!(chosen_if_one(|holder| holder.extra_request = false), [0, 1]);
 });
 
-case!(old_news_of_room_count_less_but_exclude_nothing, {
-    let takes = |news_age_ms, latest_begin_ms| {
+case!(old_updates_count_less_but_exclude_no_holder, {
+    let takes = |news_age_ms, latest_start_ms| {
         let holders = [
             holder(wait(50), Availability::None),
             elsewhere(FREE, news_age_ms),
         ];
-        chosen(&holders, latest_begin_ms).expect("a holder").0
+        chosen(&holders, latest_start_ms).expect("a holder").0
     };
     assert_eq!([takes(100, 1_000), takes(2_000, 1_000)], [1, 0]);
-    assert_eq!(takes(2_000, 20), 1, "room may be idle there");
+    assert_eq!(takes(2_000, 20), 1, "a target may be free there");
 });
 
-/// What a host of 10 cores has, with so many tasks of 100 core-ms that wait.
+/// Returns the load of a host of 10 cores, with `tasks` waiting tasks of 100 core-ms each.
 fn pool_load(used_cpu: u32, urgency: u8, tasks: u32) -> PoolLoad {
     PoolLoad {
         pool: "a".into(),
@@ -132,7 +132,7 @@
     }
 }
 
-case!(a_halls_load_is_the_sum_of_what_its_hosts_told, {
+case!(a_halls_load_is_the_sum_of_its_hosts_reports, {
     let mut hall = HallLoad::default();
     hall.add(&pool_load(9_000, 1, 4), 50);
     hall.add(&pool_load(6_000, 0, 2), 150);
@@ -149,25 +149,29 @@
     assert_eq!(waiting, [(0, 2), (1, 5)]);
 });
 
-case!(a_task_is_expected_to_wait_for_what_goes_before_it, {
-    let waiting = [pool_load(0, 0, 2), pool_load(0, 1, 4)].map(|load| load.waiting[0]);
-    // 200 core-ms of its own and what goes before it, on 20 cores.
-    let waits = |urgency| expected_wait_ms(&waiting, 20_000, urgency, 200);
-    assert_eq!([waits(0), waits(1)], [Some(20), Some(40)]);
-    assert_eq!(expected_wait_ms(&waiting, 0, 0, 200), None);
-});
+case!(
+    a_task_is_expected_to_wait_for_work_of_its_and_higher_urgency,
+    {
+        let waiting = [pool_load(0, 0, 2), pool_load(0, 1, 4)].map(|load| load.waiting[0]);
+        // 200 core-ms of its own and the work before it, on 20 cores.
+        let waits = |urgency| expected_wait_ms(&waiting, 20_000, urgency, 200);
+        assert_eq!([waits(0), waits(1)], [Some(20), Some(40)]);
+        assert_eq!(expected_wait_ms(&waiting, 0, 0, 200), None);
+    }
+);
 
-/// Leaves only some holders to choose from.
-fn keep(holders: &mut [HolderView], kept: impl Fn(usize, &HolderView) -> bool) {
+/// Restricts the choice to some holders.
+fn keep(holders: &mut [HolderView], is_kept: impl Fn(usize, &HolderView) -> bool) {
     for (at, holder) in holders.iter_mut().enumerate() {
-        if !kept(at, holder) {
+        if !is_kept(at, holder) {
             (holder.near, holder.far) = (Availability::None, Availability::None);
         }
     }
 }
 
-/// The rule, and what it is weighed against: the least expected end whatever the hall and
-/// the news' age, two of all holders, the own hall, and no targets far from the data.
+/// The rule, and the alternatives that it is compared with: the least expected end regardless of
+/// the hall and the age of updates, two holders picked by a hash, the own hall only, and no targets
+/// far from the data.
 const WAYS: [(&str, Way); 5] = [
     ("rule", |_, _| {}),
     ("least of all", |_, holders| {
@@ -177,7 +181,7 @@
     }),
     ("two of all", |task, holders| {
         let hash = xxh3_64(task.name.as_bytes());
-        let two = [hash >> 32, hash & 0xffff_ffff].map(|part| part as usize % holders.len());
+        let two = [hash >> 32, hash & 0xffff_ffff].map(|share| share as usize % holders.len());
         keep(holders, |at, _| two.contains(&at));
     }),
     ("own hall", |_, holders| {
@@ -188,15 +192,16 @@
     }),
 ];
 
-/// Returns the part of some tasks for which something holds.
-fn part(tasks: &[Task], some: impl Fn(&Task) -> bool, holds: fn(&Task) -> bool) -> f64 {
+/// Returns the share of the tasks selected by `some` for which `holds` is true.
+fn share(tasks: &[Task], some: impl Fn(&Task) -> bool, holds: fn(&Task) -> bool) -> f64 {
     let some: Vec<&Task> = tasks.iter().filter(|task| some(task)).collect();
     let holding = some.iter().filter(|task| holds(task)).count();
     holding as f64 / some.len() as f64
 }
 
-/// Plays a load in each way; prints and returns what `shares` tells of all seeds' tasks.
-fn weighed<const N: usize>(load: &Load, shares: fn(&[Task]) -> [f64; N]) -> [[f64; N]; 5] {
+/// Simulates a load under the rule and each alternative; prints and returns the shares that
+/// `shares` computes over the tasks of all seeds.
+fn compare_ways<const N: usize>(load: &Load, shares: fn(&[Task]) -> [f64; N]) -> [[f64; N]; 5] {
     WAYS.map(|(way, change)| {
         let tasks: Vec<Task> = (0..4).flat_map(|seed| play(load, change, seed)).collect();
         println!("{way}: {:.3?}", shares(&tasks));
@@ -211,52 +216,52 @@
     cut_at: Millis::MAX,
 };
 
-case!(one_halls_burst_spreads_and_does_not_topple_the_others, {
+case!(a_burst_in_one_hall_spreads_without_overloading_others, {
     let asked = |hall, now| match (hall, now) {
         (0, 1_000..2_500) => 1.4,
         _ => 0.55,
     };
-    let [rule, _, two, own, _] = weighed(&Load { asked, ..EQUAL }, |tasks| {
+    let [rule, _, two, own, _] = compare_ways(&Load { asked, ..EQUAL }, |tasks| {
         let spread = |task: &Task| task.hall() == 0 && (1_300..2_500).contains(&task.asked_at);
         let others = |task: &Task| task.hall() > 0 && (1_000..2_500).contains(&task.asked_at);
-        [spread, others].map(|some| part(tasks, some, Task::is_late))
+        [spread, others].map(|some| share(tasks, some, Task::is_late))
     });
     assert!(rule[0] < own[0] / 3.0 && rule[0] < two[0]);
     assert!(rule[1] < 0.03);
 });
 
-case!(halls_of_equal_load_do_not_swap_work, {
+case!(halls_of_equal_load_do_not_exchange_work, {
     let asked = |_, _| 0.9;
-    let [rule, least, ..] = weighed(&Load { asked, ..EQUAL }, |tasks| {
-        [Task::is_elsewhere, Task::is_late].map(|holds| part(tasks, |_| true, holds))
+    let [rule, least, ..] = compare_ways(&Load { asked, ..EQUAL }, |tasks| {
+        [Task::is_elsewhere, Task::is_late].map(|holds| share(tasks, |_| true, holds))
     });
     assert!(rule[0] < 0.02 && rule[1] < least[1]);
 });
 
-case!(a_hot_rack_spills_over_in_order_of_need, {
-    let [rule, .., near] = weighed(&Load { hot: 0.5, ..EQUAL }, |tasks| {
+case!(tasks_with_little_slack_leave_a_hot_rack_first, {
+    let [rule, .., near] = compare_ways(&Load { hot: 0.5, ..EQUAL }, |tasks| {
         let far = |tight: bool| {
             let some = |task: &Task| task.hot && (task.may_wait_ms < RUNNING_MS) == tight;
-            part(tasks, some, Task::is_far)
+            share(tasks, some, Task::is_far)
         };
         [
             far(true),
             far(false),
-            part(tasks, |task| task.hot, Task::is_late),
+            share(tasks, |task| task.hot, Task::is_late),
         ]
     });
     assert!(rule[0] > 2.0 * rule[1] && rule[2] < 0.7 * near[2]);
 });
 
-case!(news_that_are_two_seconds_old_do_no_harm, {
+case!(updates_that_are_two_seconds_old_do_no_harm, {
     let news_ms = 2_000;
-    let [rule, least, ..] = weighed(&Load { news_ms, ..EQUAL }, |tasks| {
-        [part(tasks, |_| true, Task::is_late)]
+    let [rule, least, ..] = compare_ways(&Load { news_ms, ..EQUAL }, |tasks| {
+        [share(tasks, |_| true, Task::is_late)]
     });
     assert!(rule[0] < 0.03 && rule[0] < least[0]);
 });
 
-case!(a_hall_that_is_cut_off_serves_what_it_can, {
+case!(a_hall_that_is_cut_off_uses_its_own_targets, {
     let asked = |hall, _| if hall == 0 { 1.2 } else { 0.5 };
     let cut_at = 1_000;
     let load = Load {
@@ -264,12 +269,12 @@
         asked,
         ..EQUAL
     };
-    let [rule, least, ..] = weighed(&load, |tasks| {
+    let [rule, least, ..] = compare_ways(&load, |tasks| {
         let at_first = |task: &Task| task.hall() == 0 && (1_000..3_500).contains(&task.asked_at);
         let after = |task: &Task| task.hall() == 0 && task.asked_at > 3_600;
         [
-            part(tasks, at_first, Task::is_elsewhere),
-            part(tasks, after, Task::is_late),
+            share(tasks, at_first, Task::is_elsewhere),
+            share(tasks, after, Task::is_late),
         ]
     });
     assert!(rule[0] < least[0] && rule[1] < 0.25);
--- a/crates/dispatcher-core/tests/shares.rs
+++ b/crates/dispatcher-core/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of queues and halls in room that is too small for all of them.
+//! Shares of queues and halls in a capacity that is too small for all of them.
 
 mod support;
 
@@ -8,13 +8,13 @@
 use rand_pcg::Pcg64;
 use support::case;
 
-/// One that sends tasks to a queue from a hall.
+/// A sender of tasks to a queue from a hall.
 #[derive(Clone, Debug)]
 struct Sender {
     queue: Name,
     hall: Name,
     core_ms: u64,
-    /// Its part of all that is started at most.
+    /// Its largest share of all started work.
     demand: f64,
 }
 
@@ -37,24 +37,25 @@
     }
 }
 
-/// Starts tasks until `core_ms` were started, each of the sender that is due of those that
-/// wait; adds what each got to `got`.
+/// Starts tasks until `core_ms` were started, each of the waiting sender with the least virtual
+/// time; adds what each got to `got`.
 fn start(shares: &mut Shares, senders: &[Sender], got: &mut [f64], core_ms: f64) {
     let mut started = 0.0;
-    let mut asked = vec![0.0; senders.len()];
+    let mut requested = vec![0.0; senders.len()];
     while started < core_ms {
         let waits =
-            |(position, sender): &(usize, &Sender)| asked[*position] <= sender.demand * started;
+            |(position, sender): &(usize, &Sender)| requested[*position] <= sender.demand * started;
         let waiting: Vec<(usize, &Sender)> = senders.iter().enumerate().filter(waits).collect();
         shares.advance(0, waiting.iter().map(|(_, sender)| sender.origin()));
-        let due = |(_, sender): &&(usize, &Sender)| shares.virtual_start(&sender.origin());
+        let virtual_start =
+            |(_, sender): &&(usize, &Sender)| shares.virtual_start(&sender.origin());
         let first = waiting
             .iter()
-            .min_by(|a, b| due(a).partial_cmp(&due(b)).unwrap());
-        let (position, sender) = *first.expect("demands exceed the room");
+            .min_by(|a, b| virtual_start(a).partial_cmp(&virtual_start(b)).unwrap());
+        let (position, sender) = *first.expect("demands exceed the capacity");
         shares.record_start(0, &sender.origin(), sender.core_ms);
         started += sender.core_ms as f64;
-        asked[position] += sender.core_ms as f64;
+        requested[position] += sender.core_ms as f64;
         got[position] += sender.core_ms as f64;
     }
 }
@@ -87,8 +88,8 @@
     }
 });
 
-/// Returns what each demand gets of 1 by max-min: those below an equal part of what is left
-/// get all they ask for.
+/// Returns the max-min shares of demands in 1: demands below an equal share of the rest are met in
+/// full.
 fn max_min(demands: &[f64]) -> Vec<f64> {
     let (mut low, mut high) = (0.0, 1.0);
     for _ in 0..60 {
@@ -120,7 +121,7 @@
     }
 });
 
-case!(halls_share_their_queues_part_however_many_they_are, {
+case!(halls_divide_the_share_of_their_queue, {
     let from = |queue, hall| Sender::new(queue, hall, 480);
     let senders = [from("a", "north"), from("b", "north"), from("b", "south")];
     let mut got = [0.0; 3];
@@ -128,7 +129,7 @@
     assert_eq!(got, [240_000.0, 120_000.0, 120_000.0]);
 });
 
-case!(what_others_left_is_no_debt, {
+case!(using_idle_shares_of_others_is_not_charged, {
     let senders = [
         Sender::new("a", "north", 500),
         Sender::new("b", "north", 500),
@@ -139,11 +140,11 @@
     start(&mut shares, &senders, &mut got, 10_000.0);
     assert!(
         got[0] >= 4_500.0,
-        "the share of the first is given back: {got:?}"
+        "the first is charged for idle shares: {got:?}"
     );
 });
 
-case!(a_hall_that_returns_has_no_claim_on_what_it_left, {
+case!(a_returning_hall_gets_no_credit_for_unused_shares, {
     let senders = [
         Sender::new("a", "north", 500),
         Sender::new("a", "south", 500),
@@ -156,7 +157,7 @@
     assert!((got[0] - got[1]).abs() <= 1_000.0, "{got:?}");
 });
 
-case!(what_used_most_is_remembered_among_many_names, {
+case!(the_largest_user_is_tracked_among_many_names, {
     let flood = Sender::new("flood", "north", 1_000_000);
     let mut shares = Shares::default();
     shares.record_start(0, &flood.origin(), flood.core_ms);
@@ -173,7 +174,7 @@
     );
 });
 
-case!(an_urgency_below_its_least_share_is_due, {
+case!(an_urgency_below_its_minimum_share_is_detected, {
     let (queue, hall) = ("a".into(), "north".into());
     let origin = |urgency| Origin {
         urgency,
@@ -191,15 +192,15 @@
     assert!(shares.is_below_min_share(2));
 });
 
-case!(queues_that_are_gone_are_forgotten, {
+case!(queues_without_tasks_are_removed, {
     let mut shares = Shares::default();
-    let stays = Sender::new("stays", "north", 1_000);
+    let active = Sender::new("stays", "north", 1_000);
     let size_after = |shares: &mut Shares, queues: u32| {
         for number in 0..queues {
-            let gone = Sender::new(&format!("q{number}"), "north", 100);
-            shares.record_start(0, &gone.origin(), gone.core_ms);
-            shares.record_start(0, &stays.origin(), stays.core_ms);
-            shares.advance(0, [stays.origin()].into_iter());
+            let idle = Sender::new(&format!("q{number}"), "north", 100);
+            shares.record_start(0, &idle.origin(), idle.core_ms);
+            shares.record_start(0, &active.origin(), active.core_ms);
+            shares.advance(0, [active.origin()].into_iter());
         }
         format!("{shares:?}").len()
     };
--- a/crates/dispatcher-core/tests/waiting_order.rs
+++ b/crates/dispatcher-core/tests/waiting_order.rs
@@ -1,4 +1,4 @@
-//! Which callers get what where tasks compete for the targets of one holder.
+//! Which callers are served where tasks compete for the targets of one holder.
 
 #[path = "support/room.rs"]
 mod room;
@@ -22,7 +22,7 @@
 const SLOTS: u32 = 40;
 const MS: Millis = 10_000;
 const SEEDS: u64 = 4;
-/// A queue whose load the room holds has this part of its answers on time.
+/// The share of its answers that a queue has on time if the capacity suffices for its load.
 const SERVED: f64 = 0.95;
 
 fn load(queue: &'static str, urgency: u8, tasks: u32, task_ms: Millis, part: f64) -> Load {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Urgent jobs of many short tasks that take a part of the room.
+/// Urgent jobs of many short tasks that use a share of the slots.
 fn quick(part: f64) -> Load {
     load("quick", 0, 8, 60, part)
 }
@@ -46,7 +46,7 @@
     load("middle", 1, 2, 200, part)
 }
 
-/// Jobs of long tasks that aren't urgent.
+/// Jobs of long tasks of the least urgency.
 fn long(part: f64) -> Load {
     load("long", 2, 4, 900, part)
 }
@@ -79,13 +79,13 @@
     (0..SEEDS).map(move |seed| play(seed, SLOTS, MS, &loads, ways.clone()))
 }
 
-/// The part of a queue's jobs that are on time, in the mean of all seeds.
+/// Returns the share of a queue's jobs that are on time, as the mean of all seeds.
 fn on_time(queue: &str, loads: &[Load], ways: &Ways) -> f64 {
     let parts = plays(loads, ways).map(|outcome| outcome.on_time(queue));
     parts.sum::<f64>() / SEEDS as f64
 }
 
-/// The slots that a queue got on average, from one hall or all, in the mean of all seeds.
+/// Returns the mean number of slots that a queue got, from one hall or all, over all seeds.
 fn slots(queue: &str, hall: Option<&str>, loads: &[Load], ways: &Ways) -> f64 {
     let got = plays(loads, ways).map(|outcome| outcome.got(queue, hall).slot_ms);
     got.sum::<f64>() / (SEEDS * MS) as f64
@@ -98,22 +98,22 @@
     assert!(on_time("quick", &loads, &ways(compare)) >= SERVED);
 });
 
-case!(long_jobs_get_in_their_burst_what_others_leave, {
+case!(long_jobs_get_the_unused_capacity_in_their_burst, {
     let loads = [quick(0.14), middle(0.14), long(1.0)];
-    // What is kept for others beyond their average stands idle at times.
+    // Capacity reserved for others beyond their average is idle at times.
     let left = 0.72 - 0.1;
     let got = slots("long", None, &loads, &ways(compare));
     assert!(got >= left * f64::from(SLOTS), "{got}");
 });
 
-case!(an_urgent_burst_finds_room_that_is_full_of_long_tasks, {
+case!(an_urgent_burst_is_served_while_long_tasks_run, {
     let burst = quick(0.3).during(5_000..7_000);
     let loads = [quick(0.14), burst, long(0.8)];
     let gained = on_time("quick", &loads, &ways(compare)) - on_time("quick", &loads, &by_class());
     assert!(gained > 0.1, "{gained}");
 });
 
-case!(a_late_answer_takes_no_room_from_one_on_time, {
+case!(a_late_answer_takes_no_capacity_from_one_on_time, {
     let loads = [quick(0.14), middle(0.6), quick(1.2).during(4_000..6_000)];
     let urgent_first: Order = |a, b, shares| {
         let urgency = a.origin.urgency.cmp(&b.origin.urgency);
@@ -127,7 +127,7 @@
     assert!(gained("quick") > -0.01, "{}", gained("quick"));
 });
 
-case!(a_flood_is_refused_on_arrival_and_nobody_waits_in_vain, {
+case!(an_overload_is_refused_on_arrival_instead_of_after_a_wait, {
     let loads = [middle(2.0), long(0.3)];
     let refusing = Ways {
         refusing: true,
@@ -154,7 +154,7 @@
     assert!(got >= MIN_SHARE * f64::from(SLOTS), "{got}");
 });
 
-case!(jobs_that_begin_end_on_time, {
+case!(jobs_that_start_as_a_unit_end_on_time, {
     let loads = [quick(1.5), middle(0.34), long(0.19)];
     let alone = Ways {
         units: false,
@@ -164,23 +164,23 @@
     assert!(gained > 0.1, "{gained}");
 });
 
-/// Returns whether three halls of which one has twice the callers get equal shares of a room
+/// Returns whether three halls, one of which has twice the callers, get equal shares of a capacity
 /// that is too small.
 fn halls_get_equal_shares(order: Order) -> bool {
     let from = |hall, part| middle(part).from(hall);
     let loads = [from("north", 0.5), from("south", 0.5), from("west", 1.0)];
-    let due = f64::from(SLOTS) / 3.0;
+    let fair_share = f64::from(SLOTS) / 3.0;
     ["north", "south", "west"].into_iter().all(|hall| {
         let got = slots("middle", Some(hall), &loads, &ways(order));
-        (got - due).abs() < 0.1 * due
+        (got - fair_share).abs() < 0.1 * fair_share
     })
 }
 
-case!(a_hall_whose_callers_double_takes_nothing_from_others, {
+case!(a_hall_with_twice_the_callers_gets_no_larger_share, {
     assert!(halls_get_equal_shares(compare));
 });
 
-case!(an_order_that_prefers_own_callers_is_found, {
+case!(an_order_that_prefers_own_callers_is_detected, {
     let prefers_own: Order = |a, b, shares| {
         let other = |task: &Waiting<'_>| &**task.origin.hall != "north";
         other(a).cmp(&other(b)).then(compare(a, b, shares))
@@ -189,7 +189,7 @@
     assert!(!halls_get_equal_shares(by_class().order));
 });
 
-case!(a_queue_that_floods_takes_nothing_from_others, {
+case!(an_overloaded_queue_takes_no_share_from_others, {
     let flood = Load {
         queue: "flood",
         ..middle(3.0)
@@ -200,7 +200,7 @@
     assert!(slots("flood", None, &loads, &ways(compare)) > 0.95 * left);
 });
 
-case!(no_slot_is_idle_while_a_task_waits_and_nothing_is_kept, {
+case!(no_slot_is_idle_while_a_task_waits_without_reservations, {
     let loads = [quick(0.3), middle(0.4), long(0.5)];
     let unbounded = Ways {
         bounded: false,
@@ -219,7 +219,8 @@
     }
 }
 
-/// Long tasks that may run on 80 cores some time after urgent ones took 24 of them for 4 s.
+/// Returns the number of long tasks that may run on 80 cores `ms` after urgent ones used 24 of them
+/// for 4 s.
 fn long_tasks_after(ms: Millis) -> usize {
     let mut long = LongTaskLimit::default();
     for now in (0..4_000).step_by(20) {
@@ -234,11 +235,14 @@
     running.len()
 }
 
-case!(room_is_kept_for_short_urgent_tasks_while_they_come, {
-    assert!((5..=7).contains(&long_tasks_after(0)));
-});
+case!(
+    capacity_is_reserved_for_short_urgent_tasks_while_they_arrive,
+    {
+        assert!((5..=7).contains(&long_tasks_after(0)));
+    }
+);
 
-case!(room_is_given_back_when_they_come_no_more, {
+case!(the_reservation_ends_when_they_stop_arriving, {
     assert_eq!(long_tasks_after(15_000), 10);
 });
 
@@ -248,7 +252,7 @@
     assert!(long.may_start(0, &task(2, 900), 8_000, [].into_iter()));
 });
 
-/// Compares two tasks of an urgency, class and slack each.
+/// Compares two tasks, each given by urgency, class and slack.
 fn compared(a: (u8, PriorityClass, i64), b: (u8, PriorityClass, i64)) -> Ordering {
     let (queue, hall) = ("queue".into(), "north".into());
     let waiting = |(urgency, class, slack_ms)| Waiting {
@@ -263,7 +267,7 @@
     compare(&waiting(a), &waiting(b), &Shares::default())
 }
 
-/// Names cases of a task that goes before another.
+/// Defines cases of a task that goes before another.
 macro_rules! goes_before {
     ($($name:ident: $first:expr, $second:expr;)+) => {
         $(case!($name, {
@@ -276,22 +280,22 @@
 }
 
 goes_before! {
-    what_has_begun_before_the_same_urgency: (1, Begun, 90), (1, OnTime, 5);
-    on_time_before_begun_of_a_less_urgent_queue: (0, OnTime, 90), (1, Begun, 5);
+    a_started_job_before_one_on_time_of_the_same_urgency: (1, Begun, 90), (1, OnTime, 5);
+    on_time_before_a_started_job_of_a_less_urgent_queue: (0, OnTime, 90), (1, Begun, 5);
     on_time_before_a_late_one_of_a_more_urgent_queue: (1, OnTime, 90), (0, Late, 5);
-    late_ones_by_urgency: (0, Late, 90), (1, Late, 5);
-    a_late_one_before_a_worthless_one: (1, Late, 90), (0, Worthless, -5);
-    the_least_slack_of_equals: (1, OnTime, 5), (1, OnTime, 6);
+    late_jobs_by_urgency: (0, Late, 90), (1, Late, 5);
+    a_late_job_before_a_worthless_one: (1, Late, 90), (0, Worthless, -5);
+    the_least_slack_among_equals: (1, OnTime, 5), (1, OnTime, 6);
 }
 
-case!(a_job_begins_only_where_all_of_it_can_start_in_time, {
+case!(a_job_starts_only_if_all_its_tasks_can_start_in_time, {
     let eight_tasks = 8 * 480;
     assert!(may_start_job(eight_tasks, 0, 320_000, 12));
     assert!(!may_start_job(eight_tasks, 0, 320_000, 11));
     assert!(!may_start_job(eight_tasks, 400, 320_000, 12));
 });
 
-case!(a_line_gives_tasks_in_the_order_that_compares_them, {
+case!(waiting_tasks_are_taken_in_the_order_of_comparison, {
     use PriorityClass::{Begun, Late, OnTime, Worthless};
     let mut rng = Pcg64::seed_from_u64(1);
     let names: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
@@ -308,16 +312,16 @@
                 slack_ms: rng.random_range(-50..200),
             })
             .collect();
-        let mut line = WaitingTasks::new(tasks.iter().copied());
+        let mut waiting = WaitingTasks::new(tasks.iter().copied());
         let mut left: Vec<usize> = (0..tasks.len()).collect();
-        while let Some(taken) = line.take_first(&shares, |position| position % 5 != 0) {
+        while let Some(taken) = waiting.take_first(&shares, |position| position % 5 != 0) {
             let able = left.iter().filter(|position| *position % 5 != 0);
             let first = able.min_by(|a, b| compare(&tasks[**a], &tasks[**b], &shares));
             let order = compare(&tasks[taken], &tasks[*first.unwrap()], &shares);
             assert_eq!(order, Ordering::Equal);
             left.retain(|position| *position != taken);
             shares.record_start(0, &tasks[taken].origin, 480);
-            shares.advance(0, line.origins());
+            shares.advance(0, waiting.origins());
         }
         assert_eq!(left.len(), 8);
     }
