--- a/crates/dispatcher-core/src/dispatcher/backlog.rs
+++ b/crates/dispatcher-core/src/dispatcher/backlog.rs
@@ -14,12 +14,12 @@
 use crate::message::{
     AttemptEnd, AttemptId, AttemptOutcome, HandedTask, PoolLoad, Priority, ReplyBody, TaskOrder,
 };
-use crate::rules::backlog::{accepts, near_target_wait_ms};
+use crate::rules::backlog::{accepts_task, near_target_wait_ms};
 use crate::rules::hall_load::expected_wait_ms;
 use crate::rules::long_tasks::TaskSize;
 use crate::rules::shares::Origin;
 use crate::rules::target_choice::FailedSearches;
-use crate::rules::waiting_order::{Waiting, WaitingTasks};
+use crate::rules::waiting_order::{GroupedTasks, WaitingEntry};
 use crate::settings::WaitingOrder;
 use crate::spec::Resources;
 use crate::targets::{Owner, OwnerSession, Reach};
@@ -96,9 +96,9 @@
     }
 
     /// Returns what decides its place.
-    fn as_waiting<'a>(&'a self, own_hall: &'a Name) -> Waiting<'a> {
+    fn as_waiting<'a>(&'a self, own_hall: &'a Name) -> WaitingEntry<'a> {
         let priority = self.priority();
-        Waiting {
+        WaitingEntry {
             origin: self.origin(own_hall),
             class: priority.class,
             slack_ms: priority.slack_ms,
@@ -159,7 +159,7 @@
     /// Places tasks by urgency and shares; who is due changes with each start.
     fn place_by_shares(&mut self, now: Millis, pass: &mut BacklogPass, waiting: &[WaitingHere]) {
         let own_hall = self.own.hall.clone();
-        let mut line = WaitingTasks::new(waiting.iter().map(|next| next.as_waiting(&own_hall)));
+        let mut line = GroupedTasks::new(waiting.iter().map(|next| next.as_waiting(&own_hall)));
         self.shares.advance(now, line.origins());
         while let Some(position) = line.take_first(&self.shares, |_| true) {
             self.place_next(now, pass, &waiting[position]);
@@ -290,7 +290,7 @@
         let loads = self.pool_loads(now);
         let pool = loads.iter().find(|load| load.pool == order.pool);
         let queue_cpu = pool.map_or(0, |load| load.queue_cpu);
-        let kept = accepts(order.resources.cpu, queue_cpu, self.backlog.len())
+        let kept = accepts_task(order.resources.cpu, queue_cpu, self.backlog.len())
             && self.targets.could_run_here(now, order, false);
         if kept {
             self.backlog.push(handed);
--- a/crates/dispatcher-core/src/jobs/attempts.rs
+++ b/crates/dispatcher-core/src/jobs/attempts.rs
@@ -10,7 +10,7 @@
 use crate::decision::EndCause;
 use crate::message::{AttemptEnd, AttemptId, AttemptOutcome};
 use crate::rules::peer_choice::REQUEST_RETRY_MS;
-use crate::rules::retry::{self, Next};
+use crate::rules::retry::{self, NextAction};
 use crate::Millis;
 
 use super::job::{parse_task, Place, TaskState};
@@ -110,18 +110,18 @@
             task.avoid(&end.target);
         }
         task.state = match consequence.next {
-            Next::Done => TaskState::Done,
-            Next::JobFails | Next::TryAgain => TaskState::Waiting,
+            NextAction::Done => TaskState::Done,
+            NextAction::JobFails | NextAction::TryAgain => TaskState::Waiting,
         };
-        if consequence.next == Next::Done {
+        if consequence.next == NextAction::Done {
             self.clear_suspicion(&end.id.task);
         }
         let job = self.jobs.get_mut(&id).expect("the job was found");
         match consequence.next {
-            Next::Done if job.done() == job.tasks.len() => self.end(now, &id, EndCause::Done),
-            Next::Done => job.unblock(),
-            Next::JobFails => self.end(now, &id, EndCause::AttemptsExhausted),
-            Next::TryAgain => {}
+            NextAction::Done if job.done() == job.tasks.len() => self.end(now, &id, EndCause::Done),
+            NextAction::Done => job.unblock(),
+            NextAction::JobFails => self.end(now, &id, EndCause::AttemptsExhausted),
+            NextAction::TryAgain => {}
         }
         self.update_ready(now, &id);
     }
--- a/crates/dispatcher-core/src/peers/choice.rs
+++ b/crates/dispatcher-core/src/peers/choice.rs
@@ -10,7 +10,9 @@
 use crate::message::{PoolLoad, Priority, TaskOrder};
 use crate::rules::backlog::max_wait_ms;
 use crate::rules::hall_load::HallLoad;
-use crate::rules::holder_choice::{choose, Availability, ExpectedStart, HolderView, TaskView};
+use crate::rules::holder_choice::{
+    choose_holder, Availability, ExpectedStart, HolderView, TaskView,
+};
 use crate::rules::peer_choice::{freer_of_two, Preference, MAX_ADVERTISED_PEERS};
 use crate::spec::Resources;
 use crate::Millis;
@@ -160,7 +162,7 @@
                 views.push(view);
             }
         }
-        let choice = choose(task, &views, max_wait_ms(priority))?;
+        let choice = choose_holder(task, &views, max_wait_ms(priority))?;
         let Some(name) = names[choice.holder].cloned() else {
             return Some(ChosenHolder::Own {
                 waits: choice.start == ExpectedStart::AfterWait,
--- a/crates/dispatcher-core/src/rules/backlog.rs
+++ b/crates/dispatcher-core/src/rules/backlog.rs
@@ -2,9 +2,9 @@
 //!
 //! **Rule.** A task that finds no target at once is handed over to one holder and queues there in
 //! memory for at most [`MAX_HOLDER_WAIT_MS`] on the holder's clock. After that the holder never
-//! starts it, and returns it as not started. A holder accepts a task only if its targets are expected
-//! to have free capacity for it in that time, besides all that queues there already; at most
-//! [`MAX_QUEUED_PEER_TASKS`] tasks of peers queue at one holder.
+//! starts it, and returns it as not started. A holder accepts a task only if its targets are
+//! expected to have free capacity for it in that time, besides all that queues there already; at
+//! most [`MAX_QUEUED_PEER_TASKS`] tasks of peers queue at one holder.
 //!
 //! Unless its job has started, a task queues at a holder no longer than its job can be on time:
 //! otherwise the parts of a job that queue at several holders would all end late.
@@ -54,7 +54,7 @@
 /// Returns whether a holder accepts a task that needs `cpu`, with `queue_cpu` still free for queued
 /// tasks and `handed_over` tasks of peers queued already.
 #[must_use]
-pub fn accepts(cpu: u32, queue_cpu: u32, handed_over: usize) -> bool {
+pub fn accepts_task(cpu: u32, queue_cpu: u32, handed_over: usize) -> bool {
     cpu <= queue_cpu && handed_over < MAX_QUEUED_PEER_TASKS
 }
 
--- a/crates/dispatcher-core/src/rules/holder_choice.rs
+++ b/crates/dispatcher-core/src/rules/holder_choice.rs
@@ -123,7 +123,7 @@
 /// The holder that a task is handed over to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The position of the holder in the slice passed to [`choose`].
+    /// The position of the holder in the slice passed to [`choose_holder`].
     pub holder: usize,
     /// Whether the task is expected to run near its data.
     pub distance: Distance,
@@ -186,7 +186,11 @@
 /// Chooses the holder that a task is handed over to; none if the task isn't expected to start
 /// anywhere within `latest_start_ms` from now.
 #[must_use]
-pub fn choose(task: &TaskView, holders: &[HolderView], latest_start_ms: Millis) -> Option<Choice> {
+pub fn choose_holder(
+    task: &TaskView,
+    holders: &[HolderView],
+    latest_start_ms: Millis,
+) -> Option<Choice> {
     let mut offers = Vec::with_capacity(2 * holders.len());
     for (at, view) in holders.iter().enumerate() {
         for distance in [Distance::Near, Distance::Far] {
--- a/crates/dispatcher-core/src/rules/leases.rs
+++ b/crates/dispatcher-core/src/rules/leases.rs
@@ -14,7 +14,8 @@
 //!   receiver's clock. When the newest echo is older than this, the holder of a target stops the
 //!   owner's attempts. No two clocks are compared, and a delayed message renews nothing.
 //! - An owner that receives nothing from a peer for an owner lease assumes that its attempts there
-//!   have ended after owner lease, target lease and stop grace, and only then starts the tasks again.
+//!   have ended after owner lease, target lease and stop grace, and only then starts the tasks
+//!   again.
 //!
 //! **Inputs.** [`Bounds`], in ms. **Trade-off.** A task whose peer died waits for up to
 //! [`Times::lost_attempts_over`] before it is started again.
--- a/crates/dispatcher-core/src/rules/retry.rs
+++ b/crates/dispatcher-core/src/rules/retry.rs
@@ -26,7 +26,7 @@
 
 /// What happens to a task after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// The task is done.
     Done,
     /// The task has failed as often as its queue allows: its job fails.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Consequence {
     /// What happens to the task.
-    pub next: Next,
+    pub next: NextAction,
     /// The amount to add to the attempt's number.
     pub attempt_increment: u32,
     /// Whether the attempt counts as failed.
@@ -53,20 +53,20 @@
 #[must_use]
 pub fn consequence_of(outcome: AttemptOutcome, failures: u32, max_attempts: u32) -> Consequence {
     let again = Consequence {
-        next: Next::TryAgain,
+        next: NextAction::TryAgain,
         attempt_increment: 1,
         failed: false,
         avoid_target: true,
     };
     match outcome {
         AttemptOutcome::Done => Consequence {
-            next: Next::Done,
+            next: NextAction::Done,
             attempt_increment: 0,
             avoid_target: false,
             ..again
         },
         AttemptOutcome::Failed if failures + 1 >= max_attempts.max(1) => Consequence {
-            next: Next::JobFails,
+            next: NextAction::JobFails,
             failed: true,
             ..again
         },
--- a/crates/dispatcher-core/src/rules/target_speed.rs
+++ b/crates/dispatcher-core/src/rules/target_speed.rs
@@ -56,7 +56,7 @@
 
 /// The evidence of an attempt that still runs.
 #[derive(Clone, Copy, Debug)]
-pub enum Running<'a> {
+pub enum RunningAttempt<'a> {
     /// Its target reports its progress.
     AtPace {
         /// The running times of its kind.
@@ -140,12 +140,12 @@
     pub fn slowdown<'a>(
         &self,
         now: Millis,
-        running: impl Iterator<Item = Running<'a>>,
+        running: impl Iterator<Item = RunningAttempt<'a>>,
     ) -> Slowdown {
         let mut distribution = self.decayed(now);
         for shown in running {
             match shown {
-                Running::AtPace {
+                RunningAttempt::AtPace {
                     times,
                     ratio,
                     slowed_by,
@@ -160,7 +160,7 @@
                         });
                     }
                 }
-                Running::WithoutProgress(times, ratio) => {
+                RunningAttempt::WithoutProgress(times, ratio) => {
                     apply_likelihood(&mut distribution, |slowdown| {
                         times.share_longer_than(ratio / slowdown)
                     });
--- a/crates/dispatcher-core/src/rules/waiting_order.rs
+++ b/crates/dispatcher-core/src/rules/waiting_order.rs
@@ -27,9 +27,9 @@
 
 use super::shares::{Origin, Shares, VirtualStart};
 
-/// A task that waits.
+/// A waiting task, with what its rank depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting<'a> {
+pub struct WaitingEntry<'a> {
     /// The queue and hall on whose behalf it runs.
     pub origin: Origin<'a>,
     /// The class of its job.
@@ -38,7 +38,7 @@
     pub slack_ms: i64,
 }
 
-impl Waiting<'_> {
+impl WaitingEntry<'_> {
     /// Returns whether its job has started or can be on time; shares are computed over these.
     #[must_use]
     pub fn counts_for_shares(&self) -> bool {
@@ -79,7 +79,7 @@
 
 /// Returns the rank of a waiting task.
 #[must_use]
-pub fn rank(task: &Waiting<'_>, shares: &Shares) -> Rank {
+pub fn rank(task: &WaitingEntry<'_>, shares: &Shares) -> Rank {
     let urgency = task.origin.urgency;
     Rank {
         worth: Worth::of(task.class),
@@ -91,10 +91,10 @@
     }
 }
 
-/// Compares two waiting tasks; the lesser goes first. The dispatcher uses [`WaitingTasks`], which
+/// Compares two waiting tasks; the lesser goes first. The dispatcher uses [`GroupedTasks`], which
 /// compares many tasks at a time in the same order.
 #[must_use]
-pub fn compare(a: &Waiting<'_>, b: &Waiting<'_>, shares: &Shares) -> Ordering {
+pub fn compare(a: &WaitingEntry<'_>, b: &WaitingEntry<'_>, shares: &Shares) -> Ordering {
     let ranks = rank(a, shares).partial_cmp(&rank(b, shares));
     ranks.unwrap_or(Ordering::Equal)
 }
@@ -102,13 +102,13 @@
 /// Waiting tasks of one origin and class, the least slack first.
 #[derive(Clone, Debug)]
 struct Group<'a> {
-    first: Waiting<'a>,
+    first: WaitingEntry<'a>,
     /// Slack in ms and position of each task.
     tasks: Vec<(i64, usize)>,
 }
 
 impl<'a> Group<'a> {
-    fn matches(&self, task: &Waiting<'_>) -> bool {
+    fn matches(&self, task: &WaitingEntry<'_>) -> bool {
         let (own, other) = (&self.first.origin, &task.origin);
         self.first.class == task.class
             && own.urgency == other.urgency
@@ -117,8 +117,8 @@
     }
 
     /// Returns the task of the group with a slack.
-    fn task(&self, slack_ms: i64) -> Waiting<'a> {
-        Waiting {
+    fn task(&self, slack_ms: i64) -> WaitingEntry<'a> {
+        WaitingEntry {
             slack_ms,
             ..self.first
         }
@@ -128,14 +128,14 @@
 /// Waiting tasks grouped by origin and class, so that the virtual times are looked up once per
 /// group instead of once per task.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingTasks<'a> {
+pub struct GroupedTasks<'a> {
     groups: Vec<Group<'a>>,
 }
 
-impl<'a> WaitingTasks<'a> {
+impl<'a> GroupedTasks<'a> {
     /// Groups tasks; they are identified by their position in the iterator.
     #[must_use]
-    pub fn new(tasks: impl Iterator<Item = Waiting<'a>>) -> Self {
+    pub fn new(tasks: impl Iterator<Item = WaitingEntry<'a>>) -> Self {
         let mut waiting = Self::default();
         for (position, task) in tasks.enumerate() {
             waiting.add(position, task);
@@ -146,7 +146,7 @@
         waiting
     }
 
-    fn add(&mut self, position: usize, task: Waiting<'a>) {
+    fn add(&mut self, position: usize, task: WaitingEntry<'a>) {
         let entry = (task.slack_ms, position);
         match self.groups.iter_mut().find(|group| group.matches(&task)) {
             Some(group) => group.tasks.push(entry),
--- a/crates/dispatcher-core/src/targets/learned_times.rs
+++ b/crates/dispatcher-core/src/targets/learned_times.rs
@@ -17,7 +17,7 @@
 use crate::rules::failure_source::RecentOutcomes;
 use crate::rules::running_time::{usable_estimate_ms, RunningTimes, TaskKind};
 use crate::rules::target_health::ONE_TASK_SLOWDOWN;
-use crate::rules::target_speed::{common_slowdown, Running, Slowdown, TargetSpeed};
+use crate::rules::target_speed::{common_slowdown, RunningAttempt, Slowdown, TargetSpeed};
 use crate::settings::{RunningTimes as RunningTimesFrom, Settings};
 use crate::Millis;
 
@@ -160,19 +160,19 @@
 
     /// Returns what a running attempt shows of the target's speed; `None` until the target has
     /// confirmed the attempt.
-    fn running_evidence(&self, now: Millis, attempt: &Attempt) -> Option<Running<'_>> {
+    fn running_evidence(&self, now: Millis, attempt: &Attempt) -> Option<RunningAttempt<'_>> {
         attempt.confirmed?;
         let times = self.times(&attempt.kind);
         let scale_ms = self.scale_ms(attempt.estimate_ms, attempt.is_far);
         let progress = attempt.progress;
         let run_ms = now.saturating_sub(attempt.started) as f64;
         Some(match progress.and_then(|progress| progress.pace_ms()) {
-            Some(pace_ms) => Running::AtPace {
+            Some(pace_ms) => RunningAttempt::AtPace {
                 times,
                 ratio: pace_ms / scale_ms,
                 slowed_by: progress.and_then(|progress| progress.slowed_by()),
             },
-            None => Running::WithoutProgress(times, run_ms / scale_ms),
+            None => RunningAttempt::WithoutProgress(times, run_ms / scale_ms),
         })
     }
 
--- a/crates/dispatcher-core/tests/holder_choice.rs
+++ b/crates/dispatcher-core/tests/holder_choice.rs
@@ -7,7 +7,7 @@
 use gannetridge_dispatcher_core::message::{PoolLoad, WaitingWork};
 use gannetridge_dispatcher_core::rules::hall_load::{expected_wait_ms, HallLoad};
 use gannetridge_dispatcher_core::rules::holder_choice::{
-    choose, Availability, Distance, ExpectedStart, HolderView, TaskView,
+    choose_holder, Availability, Distance, ExpectedStart, HolderView, TaskView,
 };
 use gannetridge_dispatcher_core::Millis;
 use holders::{play, Load, Task, Way, RUNNING_MS};
@@ -53,7 +53,7 @@
     holders: &[HolderView],
     latest_start_ms: Millis,
 ) -> Option<(usize, Distance, ExpectedStart)> {
-    let choice = choose(&TASK, holders, latest_start_ms);
+    let choice = choose_holder(&TASK, holders, latest_start_ms);
     choice.map(|choice| (choice.holder, choice.distance, choice.start))
 }
 
--- a/crates/dispatcher-core/tests/support/holders.rs
+++ b/crates/dispatcher-core/tests/support/holders.rs
@@ -1,7 +1,7 @@
 //! Three halls of hosts, each with callers and targets, that hear each other rarely.
 
 use gannetridge_dispatcher_core::rules::holder_choice::{
-    choose, Availability, HolderView, TaskView,
+    choose_holder, Availability, HolderView, TaskView,
 };
 use gannetridge_dispatcher_core::Millis;
 use rand::{Rng, SeedableRng};
@@ -119,7 +119,7 @@
                 far_slowdown: FAR_SLOWDOWN,
             };
             way(&looking, &mut views);
-            let Some(choice) = choose(&looking, &views, left_ms) else {
+            let Some(choice) = choose_holder(&looking, &views, left_ms) else {
                 waiting.push(task);
                 continue;
             };
--- a/crates/dispatcher-core/tests/support/room.rs
+++ b/crates/dispatcher-core/tests/support/room.rs
@@ -10,7 +10,7 @@
 use gannetridge_dispatcher_core::rules::long_tasks::{LongTaskLimit, TaskSize};
 use gannetridge_dispatcher_core::rules::priority::{priority, worth_ms, WaitingJob};
 use gannetridge_dispatcher_core::rules::shares::{Origin, Shares};
-use gannetridge_dispatcher_core::rules::waiting_order::{may_start_job, Waiting};
+use gannetridge_dispatcher_core::rules::waiting_order::{may_start_job, WaitingEntry};
 use gannetridge_dispatcher_core::Millis;
 use gannetridge_wire::Name;
 use rand::{Rng, SeedableRng};
@@ -71,7 +71,7 @@
     }
 }
 
-pub type Order = fn(&Waiting<'_>, &Waiting<'_>, &Shares) -> Ordering;
+pub type Order = fn(&WaitingEntry<'_>, &WaitingEntry<'_>, &Shares) -> Ordering;
 
 /// How the slots are given out.
 #[derive(Clone)]
@@ -167,7 +167,7 @@
     }
 
     /// `begun_core_ms` are left of jobs that have begun and go before it.
-    fn waiting(&self, now: Millis, room_cpu: u32, begun_core_ms: u64) -> Waiting<'_> {
+    fn waiting(&self, now: Millis, room_cpu: u32, begun_core_ms: u64) -> WaitingEntry<'_> {
         let job = WaitingJob {
             age_ms: now - self.arrived,
             objective_ms: self.load.objective_ms(),
@@ -185,7 +185,7 @@
             )
         };
         let in_vain = priority.class == PriorityClass::OnTime && !fits();
-        Waiting {
+        WaitingEntry {
             origin: Origin {
                 urgency: self.load.urgency,
                 queue: &self.queue,
@@ -286,7 +286,7 @@
     }
 
     /// The jobs with waiting tasks, a task of each.
-    fn waiting(&self, now: Millis) -> Vec<(usize, Waiting<'_>)> {
+    fn waiting(&self, now: Millis) -> Vec<(usize, WaitingEntry<'_>)> {
         let mut begun_core_ms = BTreeMap::new();
         for job in self.jobs.values().filter(|job| job.begun()) {
             let core_ms = u64::from(job.waiting) * job.load.core_ms();
--- a/crates/dispatcher-core/tests/waiting_order.rs
+++ b/crates/dispatcher-core/tests/waiting_order.rs
@@ -10,7 +10,7 @@
 use gannetridge_dispatcher_core::rules::long_tasks::{LongTaskLimit, TaskSize};
 use gannetridge_dispatcher_core::rules::shares::{Origin, Shares, MIN_SHARE};
 use gannetridge_dispatcher_core::rules::waiting_order::{
-    compare, may_start_job, Waiting, WaitingTasks,
+    compare, may_start_job, GroupedTasks, WaitingEntry,
 };
 use gannetridge_dispatcher_core::Millis;
 use gannetridge_wire::Name;
@@ -64,7 +64,7 @@
 /// The order by class, without shares, units or a bound for long tasks.
 fn by_class() -> Ways {
     let order: Order = |a, b, _| {
-        let key = |task: &Waiting<'_>| (task.class, task.origin.urgency, task.slack_ms);
+        let key = |task: &WaitingEntry<'_>| (task.class, task.origin.urgency, task.slack_ms);
         key(a).cmp(&key(b))
     };
     Ways {
@@ -182,7 +182,7 @@
 
 case!(an_order_that_prefers_own_callers_is_detected, {
     let prefers_own: Order = |a, b, shares| {
-        let other = |task: &Waiting<'_>| &**task.origin.hall != "north";
+        let other = |task: &WaitingEntry<'_>| &**task.origin.hall != "north";
         other(a).cmp(&other(b)).then(compare(a, b, shares))
     };
     assert!(!halls_get_equal_shares(prefers_own));
@@ -255,7 +255,7 @@
 /// Compares two tasks, each given by urgency, class and slack.
 fn compared(a: (u8, PriorityClass, i64), b: (u8, PriorityClass, i64)) -> Ordering {
     let (queue, hall) = ("queue".into(), "north".into());
-    let waiting = |(urgency, class, slack_ms)| Waiting {
+    let waiting = |(urgency, class, slack_ms)| WaitingEntry {
         origin: Origin {
             urgency,
             queue: &queue,
@@ -301,8 +301,8 @@
     let names: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
     for _ in 0..50 {
         let mut shares = Shares::default();
-        let tasks: Vec<Waiting<'_>> = (0..40)
-            .map(|_| Waiting {
+        let tasks: Vec<WaitingEntry<'_>> = (0..40)
+            .map(|_| WaitingEntry {
                 origin: Origin {
                     urgency: rng.random_range(0..3),
                     queue: &names[rng.random_range(0..3)],
@@ -312,7 +312,7 @@
                 slack_ms: rng.random_range(-50..200),
             })
             .collect();
-        let mut waiting = WaitingTasks::new(tasks.iter().copied());
+        let mut waiting = GroupedTasks::new(tasks.iter().copied());
         let mut left: Vec<usize> = (0..tasks.len()).collect();
         while let Some(taken) = waiting.take_first(&shares, |position| position % 5 != 0) {
             let able = left.iter().filter(|position| *position % 5 != 0);
