--- a/crates/dispatcher-core/src/rules/backlog.rs
+++ b/crates/dispatcher-core/src/rules/backlog.rs
@@ -30,9 +30,9 @@
 /// The least time between two messages that report free capacity to a peer, in ms.
 pub const FREE_CAPACITY_INTERVAL_MS: Millis = 20;
 
-/// Returns for how many ms a task may queue at a holder: one whose job has started for the longest
-/// time, one that can be on time up to its slack, and others only for the time that the message
-/// takes.
+/// Returns for how many ms a task may queue at a holder: up to [`MAX_HOLDER_WAIT_MS`] if its job
+/// has started, up to its slack if it can be on time, and otherwise only for the time that the
+/// message takes.
 #[must_use]
 pub fn max_wait_ms(priority: &Priority) -> Millis {
     let ms = match priority.class {
--- a/crates/dispatcher-core/src/rules/crashes.rs
+++ b/crates/dispatcher-core/src/rules/crashes.rs
@@ -34,7 +34,8 @@
 
 /// A task is given up after this many crashes, confirmed or not.
 const MAX_CRASHES: u32 = 3;
-/// A job fails, rather than ends unfinished, from this many confirmed crashes on.
+/// The number of confirmed crashes from which the job of a task that is given up fails, rather than
+/// ends unfinished.
 const CONFIRMED_CRASHES_TO_FAIL: u32 = 2;
 /// How long a task waits for an empty target after one crash, in ms: a longer wait would make short
 /// jobs late where many targets crash and none is empty.
--- a/crates/dispatcher-core/src/rules/giving_up.rs
+++ b/crates/dispatcher-core/src/rules/giving_up.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// Refuses a job; its caller may retry after about the time that a job of its kind takes.
+/// Refuses a job; its caller may retry after the job's latency objective, within bounds.
 fn refused_for(objective_ms: Millis) -> Answer {
     let (least, longest) = RETRY_AFTER_MS;
     Answer::Refused {
--- a/crates/dispatcher-core/src/rules/liveness.rs
+++ b/crates/dispatcher-core/src/rules/liveness.rs
@@ -32,7 +32,7 @@
 pub struct PeerContact {
     /// When it last acknowledged a message, if ever.
     pub acknowledged: Option<Millis>,
-    /// When a message last arrived from it, or another host reported it.
+    /// When a message last arrived from it, at first when it became known.
     pub last_contact: Millis,
     /// When its clock was last received, if ever.
     pub clock: Option<Millis>,
@@ -94,7 +94,8 @@
 }
 
 /// Returns whether a host that started at `started` knows enough peers to share the targets with
-/// them: it has received a message from one, or none answered in time.
+/// them: one has acknowledged a message, or none did in time. `has_no_contact` is set if other
+/// hosts may be alive and none has acknowledged any.
 #[must_use]
 pub fn knows_peers(now: Millis, started: Millis, has_no_contact: bool) -> bool {
     !has_no_contact || started + FIRST_REPLY_MS <= now
--- a/crates/dispatcher-core/src/rules/running_time.rs
+++ b/crates/dispatcher-core/src/rules/running_time.rs
@@ -56,7 +56,7 @@
 /// A task overruns after this many times the tail: about four times the estimate for an unknown
 /// kind.
 const OVERRUN_TAIL_FACTOR: f64 = 2.0;
-/// The time added to that, in ms: allows for calls and listings.
+/// The time added to the overrun limit, in ms: allows for calls and listings.
 const OVERRUN_MARGIN_MS: f64 = 150.0;
 /// The remaining time of a task that has run longer than all known ones, as a share of its running
 /// time so far.
--- a/crates/dispatcher-core/src/rules/target_health.rs
+++ b/crates/dispatcher-core/src/rules/target_health.rs
@@ -42,14 +42,14 @@
 /// A running attempt shows a slow target after this many times its estimate: on healthy targets few
 /// take as long.
 const OVERDUE_FACTOR: f64 = 1.8;
-/// The time subtracted from an attempt's running time before that, in ms: estimates of short tasks
-/// are off by as much.
+/// The time subtracted from the running time of an attempt before it is compared with its estimate,
+/// in ms: estimates of short tasks are off by as much.
 const OVERDUE_MARGIN_MS: f64 = 30.0;
 /// A target with at least this slowdown gets one task at a time.
 pub const ONE_TASK_SLOWDOWN: f64 = 3.0;
 /// An attempt overruns after this many times its estimate.
 const OVERRUN_FACTOR: f64 = 4.0;
-/// The time added to that, in ms.
+/// The time added to the overrun limit, in ms.
 const OVERRUN_MARGIN_MS: Millis = 150;
 /// The largest slowdown of a target that extends the time until an attempt overruns.
 const MAX_OVERRUN_SLOWDOWN: f64 = 2.0;
