--- a/crates/dispatcher-core/src/dispatcher/caller_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/caller_requests.rs
@@ -10,7 +10,7 @@
 use crate::configuration::Queue;
 use crate::decision::{Decision, EndCause, Forecast, Rejection};
 use crate::event::{RequestId, Submit};
-use crate::jobs::Checked;
+use crate::jobs::CheckedSubmission;
 use crate::message::PoolLoad;
 use crate::rules::admission::{self, Rejected, ResolvedRequest};
 use crate::rules::arrival::{self, Arrival, KnownPoolLoad};
@@ -53,7 +53,7 @@
             };
             return self.reject(request_id, &path, rejected);
         }
-        let checked = Checked {
+        let checked = CheckedSubmission {
             request_id,
             id: id.clone(),
             submit,
@@ -80,7 +80,7 @@
         let loads = own.chain(self.peers.loads(now));
         let loads = loads.filter(|(load, _)| load.pool == queue.pool);
         let pool = KnownPoolLoad::new(loads, listed_cpu, self.times.heartbeat);
-        let mut orders = self.jobs.first_waiting(id).into_iter();
+        let mut orders = self.jobs.first_waiting_orders(id).into_iter();
         let has_room = orders.any(|order| has_room(&self.targets, &self.peers, now, &order));
         let arrival = arrival::decide(&pool, &self.jobs.arriving(now, id, has_room));
         self.record_forecast(id, &queue, &pool, &arrival);
--- a/crates/dispatcher-core/src/dispatcher/crash_news.rs
+++ b/crates/dispatcher-core/src/dispatcher/crash_news.rs
@@ -21,7 +21,7 @@
         if now < self.timers.next_crash_news {
             return;
         }
-        let records = self.jobs.take_crash_news();
+        let records = self.jobs.take_crash_updates();
         if records.is_empty() {
             return;
         }
--- a/crates/dispatcher-core/src/dispatcher/draining.rs
+++ b/crates/dispatcher-core/src/dispatcher/draining.rs
@@ -92,7 +92,7 @@
         if self.draining.halls().is_empty() {
             return;
         }
-        for id in self.jobs.standing() {
+        for id in self.jobs.without_attempts() {
             let mut orders = self.jobs.first_orders(&id).into_iter();
             if orders.any(|order| self.targets.runnable(&order) == Runnable::InDrainingHalls) {
                 self.jobs.end(now, &id, EndCause::Draining);
--- a/crates/dispatcher-core/src/dispatcher/handing_over.rs
+++ b/crates/dispatcher-core/src/dispatcher/handing_over.rs
@@ -24,14 +24,14 @@
     /// for it sooner.
     pub(super) fn place_own(&mut self, now: Millis, pass: &mut BacklogPass, task: WaitingTask) {
         let here = pass.may_start_here(&task.resources, |r| self.targets.may_fit(now, r));
-        let at_peers =
-            task.may_ask && pass.may_hand_over(&task.resources, |r| self.peers.may_take(now, r));
+        let at_peers = task.may_ask_peers
+            && pass.may_hand_over(&task.resources, |r| self.peers.may_accept(now, r));
         if !here && !at_peers {
             pass.left.push(task);
             return;
         }
         let order = self.jobs.order(&task.job, task.index);
-        if task.alone {
+        if task.runs_alone {
             return self.place_alone(now, pass, task, order, here);
         }
         let here = here && self.leaves_room(now, &task.size(), &order.pool);
@@ -51,7 +51,7 @@
                 if here && self.start_own(now, &task, &order, Reach::Anywhere) => {}
             Some(ChosenHolder::Peer(peer)) if peer.has_fresh_clock => {
                 self.jobs
-                    .handed_over(now, &task.job, task.index, &peer.name);
+                    .record_handover(now, &task.job, task.index, &peer.name);
                 let tasks = pass.batches.entry(peer.name).or_default();
                 tasks.push((task, order));
             }
@@ -95,11 +95,11 @@
         if here && self.start_own(now, &task, &order, Reach::Alone) {
             return;
         }
-        let idle = self.peers.with_idle_target(now, &order);
-        match idle.filter(|_| task.may_ask) {
+        let idle = self.peers.choose_with_idle_target(now, &order);
+        match idle.filter(|_| task.may_ask_peers) {
             Some(peer) if peer.has_fresh_clock => {
                 self.jobs
-                    .handed_over(now, &task.job, task.index, &peer.name);
+                    .record_handover(now, &task.job, task.index, &peer.name);
                 self.send_place(now, &peer.name, vec![order], Request::PlaceAlone);
             }
             Some(peer) => {
@@ -127,7 +127,7 @@
             self.long_tasks.record_arrival(now, &task.size(), slack_ms);
             let own_hall = self.own.hall.clone();
             self.count_start(now, &task.origin(&own_hall), order);
-            self.jobs.started_here(now, &task.job, task.index);
+            self.jobs.record_local_start(now, &task.job, task.index);
         }
         started
     }
@@ -185,9 +185,9 @@
             return;
         };
         let clock = peer.echoed_clock.map_or(0, |echoed| echoed.clock);
-        let heard_ms_ago = now.saturating_sub(peer.clock_heard());
-        peer.begin_use(now);
-        let age_ms = now.saturating_sub(peer.free_heard);
+        let heard_ms_ago = now.saturating_sub(peer.clock_received_at());
+        peer.start_use(now);
+        let age_ms = now.saturating_sub(peer.free_received_at);
         let tasks: Vec<HandedTask> = tasks
             .into_iter()
             .map(|(task, order)| HandedTask {
@@ -229,7 +229,7 @@
             let position = position as u32;
             if !waiting.contains(&position) {
                 let started = started.contains(&position);
-                self.jobs.placed(now, id, name, started);
+                self.jobs.record_placement(now, id, name, started);
             }
         }
     }
--- a/crates/dispatcher-core/src/dispatcher/load.rs
+++ b/crates/dispatcher-core/src/dispatcher/load.rs
@@ -11,7 +11,7 @@
 
 use crate::event::SendFailure;
 use crate::message::{HolderLoad, PoolLoad, Reply, ReplyBody, Request, TargetRoom, WaitingWork};
-use crate::peers::KnownRoom;
+use crate::peers::KnownFreeTarget;
 use crate::rules::backlog::FREE_CAPACITY_INTERVAL_MS;
 use crate::rules::hall_load::HallLoad;
 use crate::spec::Resources;
@@ -97,7 +97,7 @@
             return;
         }
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.room_told = now;
+            peer.load_sent_at = now;
         }
         let request = Request::Room(self.holder_load(now));
         self.call_peer(now, &name, request, Purpose::Room);
@@ -108,7 +108,7 @@
     fn first_demand(&self, now: Millis) -> Option<(Name, Resources)> {
         let demanding = self.peers.iter();
         let demanding =
-            demanding.filter(|(_, peer)| peer.room_told + FREE_CAPACITY_INTERVAL_MS <= now);
+            demanding.filter(|(_, peer)| peer.load_sent_at + FREE_CAPACITY_INTERVAL_MS <= now);
         let open = demanding.filter_map(|(name, peer)| Some((name, peer.open_demand(now)?)));
         let first = open.min_by(|(_, a), (_, b)| {
             let order = a.priority.partial_cmp(&b.priority);
@@ -136,14 +136,14 @@
         let room = load.room.into_iter();
         let room = room.filter_map(|room| self.known_room(room)).collect();
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.heard_load(now, room, load.pools);
+            peer.set_load(now, room, load.pools);
         }
     }
 
     /// Returns a peer's target with what is free there; none if this host hasn't heard of it.
-    fn known_room(&self, room: TargetRoom) -> Option<KnownRoom> {
+    fn known_room(&self, room: TargetRoom) -> Option<KnownFreeTarget> {
         let entry = self.targets.entry(&room.target)?.clone();
-        Some(KnownRoom {
+        Some(KnownFreeTarget {
             entry,
             free: room.free,
         })
@@ -155,7 +155,7 @@
         let labels = entries.flat_map(|entry| entry.labels.iter().cloned());
         let labels: HashSet<Name> = labels.collect();
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.holds_labels(labels);
+            peer.set_held_labels(labels);
         }
     }
 
@@ -167,7 +167,7 @@
         load: HolderLoad,
     ) -> ReplyBody {
         self.load_heard(now, name, load);
-        ReplyBody::Interested(!self.jobs.none_waits())
+        ReplyBody::Interested(!self.jobs.has_no_waiting_tasks())
     }
 }
 
--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -162,7 +162,7 @@
             attempts: targets.attempts,
             cpu_freed_soon: targets.cpu_freed_soon,
             tasks_of_peers: self.backlog.len(),
-            peers_alive: self.peers.alive(now),
+            peers_alive: self.peers.alive_count(now),
             halls_draining: self.draining.halls().len(),
             store_age_ms: self.store_news.age(now),
         }
@@ -218,7 +218,7 @@
                 host,
                 path,
             } => self.cancel(now, request_id, &host, &path),
-            Event::CallerGone { request_id } => self.jobs.caller_gone(now, request_id),
+            Event::CallerGone { request_id } => self.jobs.remove_request(now, request_id),
             Event::Peer {
                 request_id,
                 envelope,
--- a/crates/dispatcher-core/src/dispatcher/owner_leases.rs
+++ b/crates/dispatcher-core/src/dispatcher/owner_leases.rs
@@ -16,7 +16,7 @@
         let mut expired = Vec::new();
         let mut lost = Vec::new();
         for (name, peer) in self.peers.iter_mut() {
-            if peer.owner_lease.expire(now) {
+            if peer.owner_lease.expire_if_due(now) {
                 expired.push(name.clone());
             }
             let alive = peer.is_alive(now);
@@ -35,7 +35,7 @@
             self.actions.push(crate::Action::Record(Decision::Peer {
                 peer: name.clone(),
                 state,
-                silent_ms: now.saturating_sub(peer.heard.last_contact),
+                silent_ms: now.saturating_sub(peer.contact.last_contact),
             }));
         }
         if self.settings.safeguards.owner_leases_expire {
@@ -47,7 +47,10 @@
             }
         }
         for name in lost {
-            let clock_heard = self.peers.get(&name).map_or(0, |peer| peer.clock_heard());
+            let clock_heard = self
+                .peers
+                .get(&name)
+                .map_or(0, |peer| peer.clock_received_at());
             self.lose_session(now, &name, clock_heard);
         }
     }
@@ -62,8 +65,8 @@
         if !self.settings.safeguards.lost_attempts_are_waited_for {
             over = now;
         }
-        peer.begin_session();
-        let attempts = self.jobs.peer_lost(name, over);
+        peer.start_session();
+        let attempts = self.jobs.mark_peer_lost(name, over);
         if attempts > 0 {
             self.record(Decision::SessionLost {
                 peer: name.clone(),
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -107,7 +107,7 @@
         purpose: Purpose,
     ) -> Option<CallId> {
         let peer = self.peers.get_mut(name)?;
-        peer.asked(now);
+        peer.record_request(now);
         let (address, session) = (peer.info.address, peer.session);
         let echoed_clock = peer.echoed_clock;
         let callee = Callee::Peer {
@@ -158,8 +158,8 @@
     ) {
         let ids: Vec<AttemptId> = orders.iter().map(|order| order.id.clone()).collect();
         if let (Some(first), Some(peer)) = (ids.first(), self.peers.get_mut(name)) {
-            peer.begin_use(now);
-            let age_ms = now.saturating_sub(peer.free_heard);
+            peer.start_use(now);
+            let age_ms = now.saturating_sub(peer.free_received_at);
             self.record(Decision::TasksHandedOver {
                 peer: name.clone(),
                 first: first.clone(),
@@ -223,14 +223,17 @@
             Ok(reply) => reply,
             Err(SendFailure::Refused) => {
                 if let Some(peer) = self.peers.get_mut(name) {
-                    peer.heard.refused = true;
+                    peer.contact.refused = true;
                 }
                 return;
             }
             Err(SendFailure::NotSent | SendFailure::Unknown) => return,
         };
-        let clock_heard = self.peers.get(name).map_or(0, |peer| peer.clock_heard());
-        if self.peers.replied(now, name, reply) {
+        let clock_heard = self
+            .peers
+            .get(name)
+            .map_or(0, |peer| peer.clock_received_at());
+        if self.peers.handle_reply(now, name, reply) {
             self.lose_session(now, name, clock_heard);
         }
         if let Some(load) = load {
@@ -238,7 +241,7 @@
         }
         if let Some(peer) = self.peers.get_mut(name) {
             if !matches!(reply.body, ReplyBody::Stale) {
-                peer.heard.acknowledged = Some(now);
+                peer.contact.acknowledged = Some(now);
             }
             if !matches!(purpose, Purpose::Heartbeat) {
                 peer.postpone_heartbeat(now);
@@ -275,7 +278,7 @@
         match purpose {
             Purpose::Heartbeat => {
                 if let Some(ReplyBody::Heartbeat(heartbeat)) = body(reply) {
-                    self.peers.heartbeat_replied(now, name, &heartbeat);
+                    self.peers.handle_heartbeat_reply(now, name, &heartbeat);
                     self.labels_heard(name, &heartbeat.leased);
                     self.fetch_configuration(now, name);
                 }
@@ -292,7 +295,7 @@
             Purpose::Stop => {
                 let acknowledged = is_acknowledged(&reply);
                 if let Some(peer) = self.peers.get_mut(name) {
-                    if !peer.stops.replied(call, acknowledged) {
+                    if !peer.stops.handle_reply(call, acknowledged) {
                         peer.retry_at = now + PEER_RETRY_MS;
                     }
                 }
@@ -300,7 +303,7 @@
             Purpose::Ended => {
                 let acknowledged = is_acknowledged(&reply);
                 if let Some(peer) = self.peers.get_mut(name) {
-                    if !peer.ends.replied(call, acknowledged) {
+                    if !peer.ends.handle_reply(call, acknowledged) {
                         peer.retry_at = now + PEER_RETRY_MS;
                     }
                 }
@@ -338,7 +341,7 @@
         };
         for (position, id) in ids.iter().enumerate() {
             let started = started.contains(&(position as u32));
-            self.jobs.placed(now, id, name, started);
+            self.jobs.record_placement(now, id, name, started);
         }
     }
 
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -48,12 +48,12 @@
         if incarnation < peer.info.incarnation {
             return false;
         }
-        peer.heard.last_contact = now;
+        peer.contact.last_contact = now;
         // Of another incarnation than the last reply's only a reply tells: with it,
         // attempts of the earlier incarnation are given up.
         let known = peer.echoed_clock;
         if known.is_some_and(|known| known.incarnation == incarnation) {
-            peer.hear_clock(now, incarnation, envelope.clock);
+            peer.update_clock(now, incarnation, envelope.clock);
         }
         if envelope.session < peer.owner_lease.session {
             return false;
@@ -102,7 +102,7 @@
                 self.asked_to_place(now, name, session, &orders, Reach::Alone)
             }
             Request::Crashes(records) => {
-                self.jobs.told_crashes(now, &records);
+                self.jobs.merge_crash_records(now, &records);
                 ReplyBody::Acknowledged
             }
             Request::Demand(demand) => {
@@ -128,7 +128,7 @@
             }
             Request::Ended(ends) => {
                 for end in &ends {
-                    self.jobs.attempt_ended(now, end);
+                    self.jobs.handle_attempt_end(now, end);
                 }
                 ReplyBody::Acknowledged
             }
@@ -171,9 +171,9 @@
     ) -> ReplyBody {
         let knows_nobody = session.number == SEED_SESSION;
         let hash = heartbeat.hosts_hash;
-        let hosts = self.peers.hosts_to_tell(now, name, hash, knows_nobody);
+        let hosts = self.peers.hosts_to_send(now, name, hash, knows_nobody);
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.heartbeat(now, heartbeat);
+            peer.handle_heartbeat(now, heartbeat);
         }
         ReplyBody::Heartbeat(HeartbeatReply {
             leaving: self.stopping.is_some(),
@@ -240,10 +240,10 @@
         for task in self.jobs.waiting(now, MAX_SCHEDULED) {
             let same_pool = *self.jobs.pool(&task.job) == free.pool;
             // Others may run on the target where these resources are.
-            if !task.alone && same_pool && resources.fits(&task.resources) {
+            if !task.runs_alone && same_pool && resources.fits(&task.resources) {
                 resources = resources.minus(&task.resources);
                 orders.push(self.jobs.order(&task.job, task.index));
-                self.jobs.handed_over(now, &task.job, task.index, name);
+                self.jobs.record_handover(now, &task.job, task.index, name);
             }
         }
         let interested = !orders.is_empty();
--- a/crates/dispatcher-core/src/dispatcher/placement.rs
+++ b/crates/dispatcher-core/src/dispatcher/placement.rs
@@ -73,7 +73,7 @@
     now: Millis,
     order: &TaskOrder,
 ) -> bool {
-    targets.has_free_resources(now, order) || peers.has_room(now, order)
+    targets.has_free_resources(now, order) || peers.has_free_capacity(now, order)
 }
 
 impl Dispatcher {
@@ -87,7 +87,7 @@
 
     fn schedule_with_reservations(&mut self, now: Millis) {
         let mut pass = Pass::default();
-        if self.jobs.none_waits() {
+        if self.jobs.has_no_waiting_tasks() {
             return self.reserve_for_peers(now, &mut pass, None);
         }
         let starts_here = self.starts_here(now);
@@ -108,7 +108,7 @@
     /// Returns whether tasks may be started on this host's targets: not while it is
     /// stopping, unless no other host could.
     pub(super) fn starts_here(&self, now: Millis) -> bool {
-        self.stopping.is_none() || self.peers.staying(now, false).is_empty()
+        self.stopping.is_none() || self.peers.eligible_holders(now, false).is_empty()
     }
 
     /// Starts a task here, or picks a peer for it.
@@ -118,7 +118,7 @@
             && pass
                 .not_here
                 .may_find(&needed, |r| self.targets.may_fit(now, r));
-        let at_peers = task.may_ask
+        let at_peers = task.may_ask_peers
             && pass
                 .not_at_peers
                 .may_find(&needed, |r| self.peers.may_fit(now, r));
@@ -133,16 +133,16 @@
                 .targets
                 .start(now, &self.as_owner(), &order, reach, URGENCY_NOT_TOLD)
         {
-            self.jobs.started_here(now, &task.job, task.index);
+            self.jobs.record_local_start(now, &task.job, task.index);
             return;
         }
         let is_asked = |name: &Name| pass.batches.contains_key(name);
-        let chosen = at_peers.then(|| self.peers.choose(now, &order, is_asked));
+        let chosen = at_peers.then(|| self.peers.choose_peer(now, &order, is_asked));
         match chosen.flatten() {
             Some(peer) if peer.has_fresh_clock => {
                 self.jobs
-                    .handed_over(now, &task.job, task.index, &peer.name);
-                let batches = if task.alone {
+                    .record_handover(now, &task.job, task.index, &peer.name);
+                let batches = if task.runs_alone {
                     &mut pass.alone
                 } else {
                     &mut pass.batches
@@ -171,7 +171,7 @@
     /// Asks a peer for its clock, so that tasks can be handed to it.
     pub(super) fn ask_clock(&mut self, now: Millis, name: &Name) {
         let peer = self.peers.get_mut(name);
-        if peer.is_some_and(|peer| peer.ask_clock(now, PEER_RETRY_MS)) {
+        if peer.is_some_and(|peer| peer.try_request_clock(now, PEER_RETRY_MS)) {
             let heartbeat = Request::Heartbeat(self.heartbeat());
             self.call_peer(now, name, heartbeat, Purpose::Heartbeat);
         }
@@ -200,7 +200,7 @@
             let request = Request::Reservation(free);
             self.call_peer(now, &first.peer, request, Purpose::Reservation);
             if let Some(peer) = self.peers.get_mut(&first.peer) {
-                peer.serve_demand();
+                peer.deduct_from_demand();
             }
             pass.peers_first = PeersFirst::Unknown;
         }
@@ -247,7 +247,7 @@
             demand: demand.clone(),
             at: now,
         });
-        for name in self.peers.advertised_to(now) {
+        for name in self.peers.next_demand_recipients(now) {
             let request = Request::Demand(Some(demand.clone()));
             self.call_peer(now, &name, request, Purpose::Demand);
         }
@@ -256,7 +256,7 @@
 
 /// Returns on which targets a task may be started, wherever its data lies.
 fn reach_of(task: &WaitingTask) -> Reach {
-    if task.alone {
+    if task.runs_alone {
         Reach::Alone
     } else {
         Reach::Anywhere
--- a/crates/dispatcher-core/src/dispatcher/stopping.rs
+++ b/crates/dispatcher-core/src/dispatcher/stopping.rs
@@ -31,7 +31,7 @@
         }
         self.stopping = Some(Stopping { since, done: false });
         for (_, peer) in self.peers.iter_mut() {
-            peer.hurry_heartbeat(now);
+            peer.schedule_heartbeat_now(now);
         }
         self.timers.hurry(now);
     }
--- a/crates/dispatcher-core/src/dispatcher/store.rs
+++ b/crates/dispatcher-core/src/dispatcher/store.rs
@@ -17,7 +17,7 @@
     /// Returns how this host learns what the platform's store holds.
     #[must_use]
     pub fn store_reading(&self, now: Millis) -> StoreReading {
-        let hosts = self.peers.staying(now, self.stopping.is_none());
+        let hosts = self.peers.eligible_holders(now, self.stopping.is_none());
         let readers = readers(&hosts, &self.own.hall);
         if readers.is_empty() {
             StoreReading::Alone
@@ -70,7 +70,7 @@
         if !wanted {
             return;
         }
-        let hosts = self.peers.staying(now, false);
+        let hosts = self.peers.eligible_holders(now, false);
         let asked = reader_to_ask(&hosts, &self.own, self.store_news.asked_next());
         if let Some(name) = asked {
             let after = self.store_news.version(StoreTable::Targets);
--- a/crates/dispatcher-core/src/dispatcher/timers.rs
+++ b/crates/dispatcher-core/src/dispatcher/timers.rs
@@ -7,7 +7,7 @@
 use gannetridge_wire::Name;
 
 use crate::decision::{Decision, StopReason};
-use crate::jobs::{Place, StopAttempt, Surroundings};
+use crate::jobs::{AttemptLocation, AttemptToStop, TickContext};
 use crate::message::{AttemptEnd, AttemptId, Heartbeat, HostInfo, Request, TaskOrder};
 use crate::peers::StopRequest;
 use crate::rules::giving_up::is_host_starting;
@@ -76,7 +76,7 @@
         self.send_heartbeats(now);
         self.ask_for_store_news(now);
         self.tell_crashes(now);
-        self.peers.forget(now);
+        self.peers.remove_silent(now);
         self.stop_if_done(now);
     }
 
@@ -84,7 +84,7 @@
     fn tick_jobs(&mut self, now: Millis) {
         let starting = self.is_starting(now);
         let (targets, peers) = (&self.targets, &self.peers);
-        let surroundings = Surroundings {
+        let surroundings = TickContext {
             starting,
             order: self.settings.scheduling.order,
             has_room: |order: &TaskOrder| has_room(targets, peers, now, order),
@@ -107,7 +107,7 @@
         }
         self.timers.next_assignment = now + ASSIGNMENT_MS;
         let started = self.timers.started.unwrap_or(now);
-        let knows_others = knows_peers(now, started, self.peers.hears_nobody());
+        let knows_others = knows_peers(now, started, self.peers.awaits_first_reply());
         let may_acquire = started + SETTLE_MS <= now && knows_others;
         let hosts = self.assigning_hosts(now);
         let peers = &self.peers;
@@ -119,7 +119,9 @@
     /// Returns the hosts that share the targets: those that stay or may be there, or this one
     /// alone where no other does.
     fn assigning_hosts(&self, now: Millis) -> Vec<HostInfo> {
-        let sharing = self.peers.sharing(now, self.stopping.is_none());
+        let sharing = self
+            .peers
+            .hosts_sharing_targets(now, self.stopping.is_none());
         if sharing.is_empty() {
             return vec![self.own.clone()];
         }
@@ -130,12 +132,13 @@
         Heartbeat {
             leaving: self.stopping.is_some(),
             version: self.version(),
-            hosts_hash: self.peers.hash(),
+            hosts_hash: self.peers.hosts_hash(),
         }
     }
 
     fn send_heartbeats(&mut self, now: Millis) {
-        self.peers.set_used(now, &self.jobs.peers_with_attempts());
+        self.peers
+            .set_peers_in_use(now, &self.jobs.peers_with_attempts());
         let (peers, seeds) = (self.peers.heartbeats_due(now), self.peers.seeds_due(now));
         if peers.is_empty() && seeds.is_empty() {
             return;
@@ -178,7 +181,7 @@
                 took_ms: report.took_ms,
             });
             if report.owner.host == self.own.name {
-                self.jobs.attempt_ended(now, &report.end);
+                self.jobs.handle_attempt_end(now, &report.end);
             } else {
                 self.report_to_peer(now, report);
             }
@@ -203,14 +206,14 @@
     }
 
     fn deliver_stops(&mut self, now: Millis) {
-        for StopAttempt { place, id } in self.jobs.take_stops() {
-            match place {
-                Place::Here => {
+        for AttemptToStop { location, id } in self.jobs.take_stops() {
+            match location {
+                AttemptLocation::Local => {
                     let own = self.own.name.clone();
                     let reason = StopReason::JobEnded;
                     self.targets.stop(now, &own, &[id], false, reason);
                 }
-                Place::Peer(name) => {
+                AttemptLocation::Peer(name) => {
                     if let Some(peer) = self.peers.get_mut(&name) {
                         peer.stops.push(StopRequest { id, report: false });
                     }
@@ -239,11 +242,11 @@
         if !peer.ends.may_send() || peer.retry_at > now {
             return;
         }
-        let ends: Vec<AttemptEnd> = peer.ends.take(|_| true);
+        let ends: Vec<AttemptEnd> = peer.ends.take_matching(|_| true);
         let request = Request::Ended(ends.clone());
         if let Some(call) = self.call_peer(now, name, request, Purpose::Ended) {
             let peer = self.peers.get_mut(name).expect("the peer is known");
-            peer.ends.sent(call, ends);
+            peer.ends.record_sent(call, ends);
         }
     }
 
@@ -254,12 +257,12 @@
         }
         // One request carries stops that agree on whether their ends are reported.
         let report = peer.stops.first().is_some_and(|stop| stop.report);
-        let stops = peer.stops.take(|stop| stop.report == report);
+        let stops = peer.stops.take_matching(|stop| stop.report == report);
         let keys: Vec<AttemptId> = stops.iter().map(|stop| stop.id.clone()).collect();
         let request = Request::Stop { keys, report };
         if let Some(call) = self.call_peer(now, name, request, Purpose::Stop) {
             let peer = self.peers.get_mut(name).expect("the peer is known");
-            peer.stops.sent(call, stops);
+            peer.stops.record_sent(call, stops);
         }
     }
 }
--- a/crates/dispatcher-core/src/jobs/attempts.rs
+++ b/crates/dispatcher-core/src/jobs/attempts.rs
@@ -13,8 +13,8 @@
 use crate::rules::retry::{self, NextAction};
 use crate::Millis;
 
-use super::job::{parse_task, Place, TaskState};
-use super::{Jobs, StopAttempt};
+use super::job::{parse_task, AttemptLocation, TaskState};
+use super::{AttemptToStop, Jobs};
 
 /// A task of a job: the job's id, and its position there.
 struct Found {
@@ -24,12 +24,12 @@
 
 impl Jobs {
     /// Records that a task is started on a target of this host.
-    pub fn started_here(&mut self, now: Millis, id: &Name, index: usize) {
-        self.set(now, id, index, TaskState::Running(Place::Here));
+    pub fn record_local_start(&mut self, now: Millis, id: &Name, index: usize) {
+        self.set(now, id, index, TaskState::Running(AttemptLocation::Local));
     }
 
     /// Records that a peer is asked to start a task.
-    pub fn handed_over(&mut self, now: Millis, id: &Name, index: usize, peer: &Name) {
+    pub fn record_handover(&mut self, now: Millis, id: &Name, index: usize, peer: &Name) {
         self.set(now, id, index, TaskState::HandedOver(peer.clone()));
     }
 
@@ -58,12 +58,12 @@
     }
 
     /// Records whether a peer started a task that it was asked to start.
-    pub fn placed(&mut self, now: Millis, id: &AttemptId, peer: &Name, started: bool) {
+    pub fn record_placement(&mut self, now: Millis, id: &AttemptId, peer: &Name, started: bool) {
         let Some(Found { job, index }) = self.find(id) else {
             if started {
                 // The job ended meanwhile.
-                self.stops.push(StopAttempt {
-                    place: Place::Peer(peer.clone()),
+                self.stops.push(AttemptToStop {
+                    location: AttemptLocation::Peer(peer.clone()),
                     id: id.clone(),
                 });
             }
@@ -74,7 +74,7 @@
             return;
         }
         let state = if started {
-            TaskState::Running(Place::Peer(peer.clone()))
+            TaskState::Running(AttemptLocation::Peer(peer.clone()))
         } else {
             task.ask_after = now + REQUEST_RETRY_MS;
             TaskState::Waiting
@@ -83,7 +83,7 @@
     }
 
     /// Handles the end of an attempt.
-    pub fn attempt_ended(&mut self, now: Millis, end: &AttemptEnd) {
+    pub fn handle_attempt_end(&mut self, now: Millis, end: &AttemptEnd) {
         self.count_crash(now, end);
         let Some(Found { job: id, index }) = self.find(&end.id) else {
             return;
@@ -136,7 +136,7 @@
 
     /// Takes all attempts at a peer for lost; they may run until `until` and then
     /// no longer. Returns how many there are.
-    pub fn peer_lost(&mut self, peer: &Name, until: Millis) -> usize {
+    pub fn mark_peer_lost(&mut self, peer: &Name, until: Millis) -> usize {
         let mut lost = 0;
         for job in self.jobs.values_mut() {
             for task in &mut job.tasks {
--- a/crates/dispatcher-core/src/jobs/crashes.rs
+++ b/crates/dispatcher-core/src/jobs/crashes.rs
@@ -162,7 +162,7 @@
     }
 
     /// Takes in what another host of the hall counted.
-    pub fn told_crashes(&mut self, now: Millis, records: &[CrashRecord]) {
+    pub fn merge_crash_records(&mut self, now: Millis, records: &[CrashRecord]) {
         for record in records {
             self.crashed.told(now, record);
             self.end_if_given_up(now, &record.task);
@@ -170,7 +170,7 @@
     }
 
     /// Takes what the hosts of the hall are to be told.
-    pub fn take_crash_news(&mut self) -> Vec<CrashRecord> {
+    pub fn take_crash_updates(&mut self) -> Vec<CrashRecord> {
         let news = std::mem::take(&mut self.crashed.news);
         let records = news.into_iter().filter_map(|task| {
             let history = self.crashed.history(&task)?;
--- a/crates/dispatcher-core/src/jobs/ending.rs
+++ b/crates/dispatcher-core/src/jobs/ending.rs
@@ -18,10 +18,10 @@
 use crate::Millis;
 
 use super::job::{attempt_id, Job, TaskState};
-use super::{Jobs, Remembered, StopAttempt, MAX_REMEMBERED};
+use super::{AttemptToStop, Jobs, Remembered, MAX_REMEMBERED};
 
 /// What decides about waiting jobs besides themselves.
-pub struct Surroundings<F> {
+pub struct TickContext<F> {
     /// Whether this host has just started.
     pub starting: bool,
     /// What decides first between waiting tasks.
@@ -32,7 +32,7 @@
 
 impl Jobs {
     /// Does what is due.
-    pub fn tick(&mut self, now: Millis, around: &Surroundings<impl Fn(&TaskOrder) -> bool>) {
+    pub fn tick(&mut self, now: Millis, around: &TickContext<impl Fn(&TaskOrder) -> bool>) {
         self.answers.retain(|_, answer| answer.until > now);
         self.next_attempts.retain(|_, next| next.until > now);
         let jobs = &self.jobs;
@@ -51,7 +51,7 @@
         now: Millis,
         id: &Name,
         on_time: Option<u8>,
-        around: &Surroundings<impl Fn(&TaskOrder) -> bool>,
+        around: &TickContext<impl Fn(&TaskOrder) -> bool>,
     ) {
         let job = self.jobs.get_mut(id).expect("the job was found");
         for task in &mut job.tasks {
@@ -74,7 +74,7 @@
         now: Millis,
         id: &Name,
         on_time: Option<u8>,
-        around: &Surroundings<impl Fn(&TaskOrder) -> bool>,
+        around: &TickContext<impl Fn(&TaskOrder) -> bool>,
     ) -> Option<EndCause> {
         let job = &self.jobs[id];
         let urgency = job.queue.urgency;
@@ -86,7 +86,7 @@
         if around.order == WaitingOrder::Class || !giving_up::is_lack_of_resources(cause) {
             return Some(cause);
         }
-        let has_room = self.first_waiting(id).iter().any(&around.has_room);
+        let has_room = self.first_waiting_orders(id).iter().any(&around.has_room);
         let open = OpenJob {
             has_free_target: has_room,
             ..open
@@ -95,7 +95,7 @@
     }
 
     /// The caller of a request is gone; its job ends unless others wait.
-    pub fn caller_gone(&mut self, now: Millis, request_id: RequestId) {
+    pub fn remove_request(&mut self, now: Millis, request_id: RequestId) {
         let Some(id) = self.by_request.remove(&request_id) else {
             return;
         };
@@ -126,7 +126,7 @@
 
     /// Returns the jobs of which tasks wait and nothing runs.
     #[must_use]
-    pub fn standing(&self) -> Vec<Name> {
+    pub fn without_attempts(&self) -> Vec<Name> {
         let waiting = self.ready.iter().map(|ready| &ready.job);
         let standing = waiting.filter(|id| !self.jobs[*id].runs());
         standing.cloned().collect()
@@ -185,7 +185,10 @@
             within[task.step] += 1;
             if let Some(place) = task.state.place() {
                 let id = attempt_id(id, task.step, position, task.attempt);
-                self.stops.push(StopAttempt { place, id });
+                self.stops.push(AttemptToStop {
+                    location: place,
+                    id,
+                });
             }
         }
     }
--- a/crates/dispatcher-core/src/jobs/job.rs
+++ b/crates/dispatcher-core/src/jobs/job.rs
@@ -12,9 +12,9 @@
 
 /// Where an attempt runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum AttemptLocation {
     /// On a target that this host holds.
-    Here,
+    Local,
     /// On a target that a peer holds.
     Peer(Name),
 }
@@ -29,7 +29,7 @@
     /// A peer is asked to start it and has not answered.
     HandedOver(Name),
     /// An attempt runs.
-    Running(Place),
+    Running(AttemptLocation),
     /// Its last attempt was lost and may run until then, not longer.
     Lost(Millis),
     /// It is done.
@@ -38,10 +38,10 @@
 
 impl TaskState {
     /// Returns where an attempt runs or may run, if one may.
-    pub(super) fn place(&self) -> Option<Place> {
+    pub(super) fn place(&self) -> Option<AttemptLocation> {
         match self {
             Self::Running(place) => Some(place.clone()),
-            Self::HandedOver(peer) => Some(Place::Peer(peer.clone())),
+            Self::HandedOver(peer) => Some(AttemptLocation::Peer(peer.clone())),
             Self::Blocked | Self::Waiting | Self::Lost(_) | Self::Done => None,
         }
     }
@@ -49,8 +49,8 @@
     /// Returns the peer at which an attempt runs or may run, if one may.
     pub(super) fn peer(&self) -> Option<&Name> {
         match self {
-            Self::HandedOver(peer) | Self::Running(Place::Peer(peer)) => Some(peer),
-            Self::Running(Place::Here)
+            Self::HandedOver(peer) | Self::Running(AttemptLocation::Peer(peer)) => Some(peer),
+            Self::Running(AttemptLocation::Local)
             | Self::Blocked
             | Self::Waiting
             | Self::Lost(_)
--- a/crates/dispatcher-core/src/jobs/mod.rs
+++ b/crates/dispatcher-core/src/jobs/mod.rs
@@ -28,8 +28,8 @@
 use crate::Millis;
 
 use crashes::CrashedTasks;
-pub use ending::Surroundings;
-pub use job::Place;
+pub use ending::TickContext;
+pub use job::AttemptLocation;
 use job::{Job, Ready, Task};
 pub use waiting::{demand, WaitingTask};
 
@@ -49,7 +49,7 @@
 
 /// A submitted job that was checked.
 #[derive(Debug)]
-pub struct Checked<'a> {
+pub struct CheckedSubmission<'a> {
     /// The caller's request.
     pub request_id: RequestId,
     /// The job's id.
@@ -64,9 +64,9 @@
 
 /// An attempt that is to be stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StopAttempt {
+pub struct AttemptToStop {
     /// Where it runs.
-    pub place: Place,
+    pub location: AttemptLocation,
     /// The attempt.
     pub id: AttemptId,
 }
@@ -86,7 +86,7 @@
     /// earlier ones.
     next_attempts: BTreeMap<Name, Remembered<u32>>,
     crashed: CrashedTasks,
-    stops: Vec<StopAttempt>,
+    stops: Vec<AttemptToStop>,
     actions: Vec<Action>,
 }
 
@@ -159,7 +159,7 @@
     }
 
     /// Takes the attempts that are to be stopped.
-    pub fn take_stops(&mut self) -> Vec<StopAttempt> {
+    pub fn take_stops(&mut self) -> Vec<AttemptToStop> {
         std::mem::take(&mut self.stops)
     }
 
@@ -169,8 +169,8 @@
     }
 
     /// Accepts a job that was checked; one that is known already is joined.
-    pub fn submit(&mut self, now: Millis, checked: Checked<'_>) {
-        let Checked { request_id, id, .. } = &checked;
+    pub fn submit(&mut self, now: Millis, checked: CheckedSubmission<'_>) {
+        let CheckedSubmission { request_id, id, .. } = &checked;
         let (request_id, id) = (*request_id, id.clone());
         if let Some(answer) = self.answers.get(&id) {
             let answer = answer.value.clone();
@@ -186,8 +186,8 @@
         }
     }
 
-    fn accept(&mut self, now: Millis, checked: Checked<'_>) {
-        let Checked {
+    fn accept(&mut self, now: Millis, checked: CheckedSubmission<'_>) {
+        let CheckedSubmission {
             request_id,
             id,
             submit,
--- a/crates/dispatcher-core/src/jobs/waiting.rs
+++ b/crates/dispatcher-core/src/jobs/waiting.rs
@@ -34,9 +34,9 @@
     /// Time since its job was accepted, in ms.
     pub age_ms: Millis,
     /// Whether peers may be asked that are only believed to have the resources.
-    pub may_ask: bool,
+    pub may_ask_peers: bool,
     /// Whether it is to run alone on a target.
-    pub alone: bool,
+    pub runs_alone: bool,
 }
 
 impl WaitingTask {
@@ -64,7 +64,7 @@
 impl Jobs {
     /// Returns whether no task waits.
     #[must_use]
-    pub fn none_waits(&self) -> bool {
+    pub fn has_no_waiting_tasks(&self) -> bool {
         self.ready.is_empty()
     }
 
@@ -97,8 +97,8 @@
                         resources: job.spec.steps[task.step].resources,
                         estimate_ms: job.spec.steps[task.step].estimate_ms,
                         age_ms: now.saturating_sub(job.accepted),
-                        may_ask: task.ask_after <= now,
-                        alone: self.runs_alone(now, || self.order(&ready.job, index).id.task),
+                        may_ask_peers: task.ask_after <= now,
+                        runs_alone: self.runs_alone(now, || self.order(&ready.job, index).id.task),
                     });
                 }
             }
@@ -181,7 +181,7 @@
     ///
     /// Panics if there is no such job.
     #[must_use]
-    pub fn first_waiting(&self, id: &Name) -> Vec<TaskOrder> {
+    pub fn first_waiting_orders(&self, id: &Name) -> Vec<TaskOrder> {
         let job = &self.jobs[id];
         let steps = 0..job.spec.steps.len();
         let firsts = steps.filter_map(|step| job.first_of(step));
--- a/crates/dispatcher-core/src/peers/choice.rs
+++ b/crates/dispatcher-core/src/peers/choice.rs
@@ -49,28 +49,28 @@
     #[must_use]
     pub fn may_fit(&self, now: Millis, resources: &Resources) -> bool {
         let peers = self.peers.values();
-        let mut open = peers.filter(|peer| peer.takes_tasks(now));
+        let mut open = peers.filter(|peer| peer.accepts_tasks(now));
         open.any(|peer| peer.may_fit(resources))
     }
 
     /// Returns whether any peer is believed to take a task with such needs, now or to wait.
     #[must_use]
-    pub fn may_take(&self, now: Millis, resources: &Resources) -> bool {
+    pub fn may_accept(&self, now: Millis, resources: &Resources) -> bool {
         let peers = self.peers.values();
-        let mut open = peers.filter(|peer| peer.takes_tasks(now));
-        open.any(|peer| peer.may_take(resources))
+        let mut open = peers.filter(|peer| peer.accepts_tasks(now));
+        open.any(|peer| peer.may_accept(resources))
     }
 
     /// Returns what living peers' targets have to do, each with the age of the news in ms.
     pub fn loads(&self, now: Millis) -> impl Iterator<Item = (&PoolLoad, Millis)> {
         let peers = self.peers.values();
-        let open = peers.filter(move |peer| peer.takes_tasks(now));
+        let open = peers.filter(move |peer| peer.accepts_tasks(now));
         open.flat_map(move |peer| peer.loads(now))
     }
 
     /// Adds what living peers' targets have to do to the loads of their halls.
     pub fn add_hall_loads(&self, now: Millis, halls: &mut BTreeMap<Name, HallLoad>) {
-        for peer in self.peers.values().filter(|peer| peer.takes_tasks(now)) {
+        for peer in self.peers.values().filter(|peer| peer.accepts_tasks(now)) {
             for (load, age_ms) in peer.loads(now) {
                 let hall = halls.entry(peer.info.hall.clone()).or_default();
                 hall.add(load, age_ms);
@@ -80,19 +80,19 @@
 
     /// Returns whether a peer that was heard within a heartbeat had the resources for an order.
     #[must_use]
-    pub fn has_room(&self, now: Millis, order: &TaskOrder) -> bool {
+    pub fn has_free_capacity(&self, now: Millis, order: &TaskOrder) -> bool {
         let peers = self.peers.values();
         let mut heard = peers.filter(|peer| {
-            peer.takes_tasks(now) && now <= peer.free_heard + peer.intervals.heartbeat
+            peer.accepts_tasks(now) && now <= peer.free_received_at + peer.intervals.heartbeat
         });
-        heard.any(|peer| peer.has_resources(order) || peer.has_room(order))
+        heard.any(|peer| peer.has_resources(order) || peer.has_free_capacity(order))
     }
 
     /// Chooses a peer that is believed to have the resources for an order, and
     /// takes them off that belief; see [`crate::rules::peer_choice`].
     ///
     /// `is_asked` tells whether a request goes to a peer anyway.
-    pub fn choose(
+    pub fn choose_peer(
         &mut self,
         now: Millis,
         order: &TaskOrder,
@@ -104,7 +104,7 @@
             stale_clock: !peer.has_fresh_clock(now),
         };
         let open = self.peers.values();
-        let open = open.filter(|peer| peer.takes_tasks(now) && peer.has_resources(order));
+        let open = open.filter(|peer| peer.accepts_tasks(now) && peer.has_resources(order));
         let ranked: Vec<(Preference, &Peer)> = open.map(|peer| (preference(peer), peer)).collect();
         let best = ranked.iter().map(|(preference, _)| *preference).min()?;
         let best: Vec<&Peer> = ranked
@@ -126,9 +126,9 @@
     /// Returns a peer that is believed to have a target for a task on which nothing runs, the
     /// own hall's first.
     #[must_use]
-    pub fn with_idle_target(&self, now: Millis, order: &TaskOrder) -> Option<ChosenPeer> {
+    pub fn choose_with_idle_target(&self, now: Millis, order: &TaskOrder) -> Option<ChosenPeer> {
         let peers = self.peers.values();
-        let idle = peers.filter(|peer| peer.takes_tasks(now) && peer.has_idle_target(order));
+        let idle = peers.filter(|peer| peer.accepts_tasks(now) && peer.has_idle_target(order));
         let chosen = idle.min_by_key(|peer| {
             let other_hall = peer.info.hall != self.own.hall;
             (other_hall, !peer.has_fresh_clock(now))
@@ -153,7 +153,7 @@
         is_asked: impl Fn(&Name) -> bool,
     ) -> Option<ChosenHolder> {
         let urgency = priority.urgency;
-        let open = self.peers.values().filter(|peer| peer.takes_tasks(now));
+        let open = self.peers.values().filter(|peer| peer.accepts_tasks(now));
         let mut names: Vec<Option<&Name>> = vec![None];
         let mut views = vec![own];
         for peer in open {
@@ -209,9 +209,9 @@
 
     /// Returns the peers to which a demand is advertised, others each time if there
     /// are many: not those of draining halls, unless there are no others.
-    pub fn advertised_to(&mut self, now: Millis) -> Vec<Name> {
+    pub fn next_demand_recipients(&mut self, now: Millis) -> Vec<Name> {
         let open = self.peers.iter();
-        let open = open.filter(|(_, peer)| peer.takes_tasks(now));
+        let open = open.filter(|(_, peer)| peer.accepts_tasks(now));
         let (drained, serving): (Vec<_>, Vec<_>) =
             open.partition(|(_, peer)| self.draining.contains(&peer.info.hall));
         let open = if serving.is_empty() { drained } else { serving };
--- a/crates/dispatcher-core/src/peers/demand.rs
+++ b/crates/dispatcher-core/src/peers/demand.rs
@@ -44,7 +44,7 @@
     #[must_use]
     pub fn open_demand(&self, now: Millis) -> Option<OpenDemand<'_>> {
         let heard = self.demand.as_ref()?;
-        let open = heard.until > now && self.takes_tasks(now);
+        let open = heard.until > now && self.accepts_tasks(now);
         open.then(|| OpenDemand {
             demand: &heard.demand,
             priority: aged(&heard.demand.priority, now.saturating_sub(heard.heard)),
@@ -53,7 +53,7 @@
 
     /// Takes one task off its demand: resources were reserved for it. The next
     /// reservation after the last one waits until the peer advertises again.
-    pub fn serve_demand(&mut self) {
+    pub fn deduct_from_demand(&mut self) {
         if let Some(heard) = &mut self.demand {
             heard.demand.tasks = heard.demand.tasks.saturating_sub(1);
             if heard.demand.tasks == 0 {
--- a/crates/dispatcher-core/src/peers/load.rs
+++ b/crates/dispatcher-core/src/peers/load.rs
@@ -17,7 +17,7 @@
 
 /// A target of a peer with room.
 #[derive(Clone, Debug)]
-pub struct KnownRoom {
+pub struct KnownFreeTarget {
     /// The target, as the platform lists it.
     pub entry: TargetEntry,
     /// What is free there.
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(super) struct BelievedLoad {
     heard: Millis,
-    room: Vec<KnownRoom>,
+    room: Vec<KnownFreeTarget>,
     pools: Vec<PoolLoad>,
     /// The labels of the targets that it holds.
     labels: HashSet<Name>,
@@ -47,14 +47,14 @@
 
 impl Peer {
     /// Takes what it told of its targets.
-    pub fn heard_load(&mut self, now: Millis, room: Vec<KnownRoom>, pools: Vec<PoolLoad>) {
+    pub fn set_load(&mut self, now: Millis, room: Vec<KnownFreeTarget>, pools: Vec<PoolLoad>) {
         self.load.heard = now;
         self.load.room = room;
         self.load.pools = pools;
     }
 
     /// Takes the labels of the targets that it holds.
-    pub fn holds_labels(&mut self, labels: HashSet<Name>) {
+    pub fn set_held_labels(&mut self, labels: HashSet<Name>) {
         self.load.labels = labels;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Returns whether a target of it is believed to have room for an order.
-    pub(super) fn has_room(&self, order: &TaskOrder) -> bool {
+    pub(super) fn has_free_capacity(&self, order: &TaskOrder) -> bool {
         self.load.room.iter().any(|room| room.fits(order))
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Returns whether it is believed to take a task with such needs, now or to wait.
-    pub(super) fn may_take(&self, needed: &Resources) -> bool {
+    pub(super) fn may_accept(&self, needed: &Resources) -> bool {
         let mut room = self.load.room.iter();
         let mut pools = self.load.pools.iter();
         room.any(|room| room.free.fits(needed)) || pools.any(|pool| needed.cpu <= pool.queue_cpu)
@@ -163,7 +163,7 @@
     }
 }
 
-impl KnownRoom {
+impl KnownFreeTarget {
     fn fits(&self, order: &TaskOrder) -> bool {
         self.free.fits(&order.resources) && suits(&self.entry, order)
     }
--- a/crates/dispatcher-core/src/peers/membership.rs
+++ b/crates/dispatcher-core/src/peers/membership.rs
@@ -30,7 +30,7 @@
 
 impl Peers {
     /// Returns a hash of all known hosts.
-    pub fn hash(&mut self) -> u64 {
+    pub fn hosts_hash(&mut self) -> u64 {
         if let Some(hash) = self.membership.hash {
             return hash;
         }
@@ -54,14 +54,14 @@
     /// Returns the hosts that a peer is told whose heartbeat carries a hash.
     ///
     /// `knows_nobody` says that it found this host by the address of a seed.
-    pub fn hosts_to_tell(
+    pub fn hosts_to_send(
         &mut self,
         now: Millis,
         name: &Name,
         hash: u64,
         knows_nobody: bool,
     ) -> Vec<HostInfo> {
-        let differs = hash != self.hash();
+        let differs = hash != self.hosts_hash();
         let Some(peer) = self.peers.get_mut(name) else {
             return Vec::new();
         };
--- a/crates/dispatcher-core/src/peers/mod.rs
+++ b/crates/dispatcher-core/src/peers/mod.rs
@@ -28,7 +28,7 @@
 use crate::Millis;
 
 pub use choice::ChosenHolder;
-pub use load::KnownRoom;
+pub use load::KnownFreeTarget;
 use membership::Membership;
 pub use peer::{Peer, StopRequest};
 
@@ -159,7 +159,7 @@
                 peer.info = info.clone();
                 peer.intervals = intervals;
                 peer.learnt = now;
-                peer.heard.refused = false;
+                peer.contact.refused = false;
                 peer.greet(now);
                 peer.begin_incarnation(info.incarnation);
             }
@@ -170,7 +170,7 @@
 
     /// Returns the hosts that live and stay, this one if `own_stays`.
     #[must_use]
-    pub fn staying(&self, now: Millis, own_stays: bool) -> Vec<HostInfo> {
+    pub fn eligible_holders(&self, now: Millis, own_stays: bool) -> Vec<HostInfo> {
         let others = self.peers.values();
         let others = others.filter(|peer| peer.stays(now));
         let others = others.map(|peer| peer.info.clone());
@@ -182,18 +182,18 @@
     /// had no time to answer since this host heard of them; see
     /// [`crate::rules::liveness::may_be_alive`].
     #[must_use]
-    pub fn sharing(&self, now: Millis, own_stays: bool) -> Vec<HostInfo> {
+    pub fn hosts_sharing_targets(&self, now: Millis, own_stays: bool) -> Vec<HostInfo> {
         let unheard = self.peers.values();
-        let unheard = unheard.filter(|peer| may_be_alive(now, peer.learnt, &peer.heard));
+        let unheard = unheard.filter(|peer| may_be_alive(now, peer.learnt, &peer.contact));
         let unheard = unheard.map(|peer| peer.info.clone());
-        let staying = self.staying(now, own_stays);
+        let staying = self.eligible_holders(now, own_stays);
         staying.into_iter().chain(unheard).collect()
     }
 
     /// Returns whether other hosts may be there and none was heard yet.
     #[must_use]
-    pub fn hears_nobody(&self) -> bool {
-        let mut heard = self.peers.values().map(|peer| &peer.heard);
+    pub fn awaits_first_reply(&self) -> bool {
+        let mut heard = self.peers.values().map(|peer| &peer.contact);
         let others = !self.peers.is_empty() || !self.seeds.is_empty();
         others && heard.all(|heard| heard.acknowledged.is_none())
     }
@@ -202,21 +202,21 @@
     /// host may only not hear.
     #[must_use]
     pub fn is_leased_elsewhere(&self, now: Millis, target: &Name) -> bool {
-        let heard = self.peers.values().map(|peer| &peer.heard);
+        let heard = self.peers.values().map(|peer| &peer.contact);
         // Peers of other halls are heard more rarely; whether this host is cut off has to
         // show as soon as targets of silent peers of its own hall could be taken.
         let minority = is_in_minority(now, &self.near, heard);
         let mut peers = self.peers.values();
         peers.any(|peer| {
-            let unheard = minority && peer.heard.was_recently_alive(now);
-            let keeps = peer.heard.retains_targets(now, &peer.intervals) || unheard;
+            let unheard = minority && peer.contact.was_recently_alive(now);
+            let keeps = peer.contact.retains_targets(now, &peer.intervals) || unheard;
             keeps && peer.has_leased(target)
         })
     }
 
     /// Returns how many peers are taken to live.
     #[must_use]
-    pub fn alive(&self, now: Millis) -> usize {
+    pub fn alive_count(&self, now: Millis) -> usize {
         let peers = self.peers.values();
         let alive = peers.filter(|peer| peer.is_alive(now));
         alive.count()
@@ -224,7 +224,7 @@
 
     /// Handles what every reply says; returns whether the peer's process is
     /// another one than before.
-    pub fn replied(&mut self, now: Millis, name: &Name, reply: &Reply) -> bool {
+    pub fn handle_reply(&mut self, now: Millis, name: &Name, reply: &Reply) -> bool {
         let Some(peer) = self.peers.get_mut(name) else {
             return false;
         };
@@ -233,7 +233,7 @@
         }
         let known = peer.echoed_clock;
         let another = known.is_some_and(|known| known.incarnation != reply.incarnation);
-        peer.replied(now, reply);
+        peer.handle_reply(now, reply);
         if reply.incarnation > peer.info.incarnation {
             peer.begin_incarnation(reply.incarnation);
             peer.learnt = now;
@@ -243,12 +243,12 @@
     }
 
     /// Handles what the reply to a heartbeat says.
-    pub fn heartbeat_replied(&mut self, now: Millis, name: &Name, reply: &HeartbeatReply) {
+    pub fn handle_heartbeat_reply(&mut self, now: Millis, name: &Name, reply: &HeartbeatReply) {
         for host in &reply.hosts {
             self.learn(now, host);
         }
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.heartbeat_replied(reply);
+            peer.handle_heartbeat_reply(reply);
         }
     }
 
@@ -264,12 +264,12 @@
     }
 
     /// Records the peers at which attempts of this host may run.
-    pub fn set_used(&mut self, now: Millis, used: &HashSet<Name>) {
+    pub fn set_peers_in_use(&mut self, now: Millis, used: &HashSet<Name>) {
         for (name, peer) in &mut self.peers {
             if !used.contains(name) {
                 peer.end_use();
-            } else if peer.heard.in_use_since.is_none() {
-                peer.begin_use(now);
+            } else if peer.contact.in_use_since.is_none() {
+                peer.start_use(now);
             }
         }
     }
@@ -287,10 +287,10 @@
     }
 
     /// Forgets hosts that weren't heard for long.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn remove_silent(&mut self, now: Millis) {
         let before = self.peers.len();
         self.peers
-            .retain(|_, peer| peer.heard.last_contact + FORGET_MS > now);
+            .retain(|_, peer| peer.contact.last_contact + FORGET_MS > now);
         if self.peers.len() != before {
             self.hosts_changed();
         }
--- a/crates/dispatcher-core/src/peers/outbox.rs
+++ b/crates/dispatcher-core/src/peers/outbox.rs
@@ -55,7 +55,7 @@
     }
 
     /// Takes the waiting items that `with` picks.
-    pub fn take(&mut self, with: impl Fn(&T) -> bool) -> Vec<T> {
+    pub fn take_matching(&mut self, with: impl Fn(&T) -> bool) -> Vec<T> {
         let waiting = std::mem::take(&mut self.waiting);
         let (taken, left) = waiting.into_iter().partition(with);
         self.waiting = left;
@@ -63,13 +63,13 @@
     }
 
     /// Records that items went out with a call.
-    pub fn sent(&mut self, call: CallId, items: Vec<T>) {
+    pub fn record_sent(&mut self, call: CallId, items: Vec<T>) {
         self.sent = Some(Sent { call, items });
     }
 
     /// Records whether the peer has acknowledged a call; if not, its items wait
     /// again. Returns false if they do.
-    pub fn replied(&mut self, call: CallId, acknowledged: bool) -> bool {
+    pub fn handle_reply(&mut self, call: CallId, acknowledged: bool) -> bool {
         let Some(sent) = self.sent.take_if(|sent| sent.call == call) else {
             return true;
         };
--- a/crates/dispatcher-core/src/peers/owner_lease.rs
+++ b/crates/dispatcher-core/src/peers/owner_lease.rs
@@ -38,7 +38,7 @@
     }
 
     /// Lets it expire when its time is over; returns whether it did so now.
-    pub fn expire(&mut self, now: Millis) -> bool {
+    pub fn expire_if_due(&mut self, now: Millis) -> bool {
         let expires = !self.expired && self.until <= now;
         self.expired |= expires;
         expires
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -41,7 +41,7 @@
     /// Since when its heartbeats show that it knows other hosts than this one.
     pub(super) differs_since: Option<Millis>,
     /// What was heard of it, and when.
-    pub heard: PeerContact,
+    pub contact: PeerContact,
     /// Its clock as last heard, to be sent back.
     pub echoed_clock: Option<EchoedClock>,
     /// Whether it was taken to live when last looked at.
@@ -59,7 +59,7 @@
     /// Neither ends nor stops are sent again before this time.
     pub retry_at: Millis,
     /// When its free resources were heard.
-    pub free_heard: Millis,
+    pub free_received_at: Millis,
     /// Its free resources as last heard, less what was handed over since.
     free: Vec<FreeResources>,
     /// Whether it stops in order.
@@ -69,7 +69,7 @@
     pub(super) demand: Option<HeardDemand>,
     pub(super) load: BelievedLoad,
     /// When it was last told of room here.
-    pub room_told: Millis,
+    pub load_sent_at: Millis,
     /// How long the first heartbeat to an incarnation of it waits, in ms.
     first_wait: Millis,
     schedule: Schedule,
@@ -89,7 +89,7 @@
             intervals,
             learnt: now,
             differs_since: None,
-            heard: PeerContact {
+            contact: PeerContact {
                 last_contact: now,
                 ..PeerContact::default()
             },
@@ -101,13 +101,13 @@
             ends: Outbox::default(),
             stops: Outbox::default(),
             retry_at: 0,
-            free_heard: 0,
+            free_received_at: 0,
             free: Vec::new(),
             leaving: false,
             leased: HashSet::new(),
             demand: None,
             load: BelievedLoad::default(),
-            room_told: 0,
+            load_sent_at: 0,
             first_wait,
             schedule: Schedule::due_at(now + first_wait),
         }
@@ -116,23 +116,23 @@
     /// Returns whether it is taken to live.
     #[must_use]
     pub fn is_alive(&self, now: Millis) -> bool {
-        self.heard.is_alive(now, &self.intervals)
+        self.contact.is_alive(now, &self.intervals)
     }
 
     /// Returns whether tasks may be handed to it.
     #[must_use]
-    pub fn takes_tasks(&self, now: Millis) -> bool {
-        self.heard.is_alive(now, &self.intervals) && !self.leaving
+    pub fn accepts_tasks(&self, now: Millis) -> bool {
+        self.contact.is_alive(now, &self.intervals) && !self.leaving
     }
 
     /// Returns whether a task may be handed to it now, as far as its clock goes.
     pub(super) fn has_fresh_clock(&self, now: Millis) -> bool {
-        self.heard.has_fresh_clock(now, &self.intervals)
+        self.contact.has_fresh_clock(now, &self.intervals)
     }
 
     /// Returns whether it may hold targets: it lives, or is slow, and stays.
     pub(super) fn stays(&self, now: Millis) -> bool {
-        !self.leaving && self.heard.retains_targets(now, &self.intervals)
+        !self.leaving && self.contact.retains_targets(now, &self.intervals)
     }
 
     /// Returns whether it said that it holds a target's lease.
@@ -150,8 +150,8 @@
     }
 
     /// Records that it was asked something.
-    pub fn asked(&mut self, now: Millis) {
-        self.heard.unanswered_since.get_or_insert(now);
+    pub fn record_request(&mut self, now: Millis) {
+        self.contact.unanswered_since.get_or_insert(now);
     }
 
     /// Has the first heartbeat sent to a newer incarnation in time.
@@ -163,70 +163,70 @@
     pub(super) fn begin_incarnation(&mut self, incarnation: u64) {
         self.info.incarnation = incarnation;
         self.owner_lease.session = 0;
-        self.heard.unanswered_since = None;
+        self.contact.unanswered_since = None;
         self.demand = None;
         self.forget_load();
     }
 
     /// Records its clock, as it was when it sent what just came.
-    pub fn hear_clock(&mut self, now: Millis, incarnation: u64, clock: Millis) {
+    pub fn update_clock(&mut self, now: Millis, incarnation: u64, clock: Millis) {
         let older = self
             .echoed_clock
             .is_some_and(|known| known.incarnation == incarnation && known.clock > clock);
         if !older {
             self.echoed_clock = Some(EchoedClock { incarnation, clock });
-            self.heard.clock = Some(now);
+            self.contact.clock = Some(now);
         }
     }
 
     /// Returns when its clock was last heard, 0 if it never was: no attempt can be
     /// there then.
     #[must_use]
-    pub fn clock_heard(&self) -> Millis {
-        self.heard.clock.unwrap_or(0)
+    pub fn clock_received_at(&self) -> Millis {
+        self.contact.clock.unwrap_or(0)
     }
 
     /// Handles what every reply says.
-    pub(super) fn replied(&mut self, now: Millis, reply: &Reply) {
-        self.hear_clock(now, reply.incarnation, reply.clock);
-        self.heard.last_contact = now;
-        self.heard.refused = false;
-        self.heard.unanswered_since = None;
+    pub(super) fn handle_reply(&mut self, now: Millis, reply: &Reply) {
+        self.update_clock(now, reply.incarnation, reply.clock);
+        self.contact.last_contact = now;
+        self.contact.refused = false;
+        self.contact.unanswered_since = None;
         self.free = reply.free.clone();
-        self.free_heard = now;
+        self.free_received_at = now;
     }
 
     /// Handles its heartbeat.
-    pub fn heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
+    pub fn handle_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         self.leaving = heartbeat.leaving;
         self.version = heartbeat.version;
         // One that never answered may have just started.
-        if self.heard.acknowledged.is_none() {
+        if self.contact.acknowledged.is_none() {
             self.schedule.no_later_than(now + self.first_wait);
         }
     }
 
     /// Handles its reply to a heartbeat.
-    pub(super) fn heartbeat_replied(&mut self, reply: &HeartbeatReply) {
+    pub(super) fn handle_heartbeat_reply(&mut self, reply: &HeartbeatReply) {
         self.leaving = reply.leaving;
         self.version = reply.version;
         self.leased = reply.leased.iter().cloned().collect();
     }
 
     /// Records that attempts of this host may run there from now on.
-    pub fn begin_use(&mut self, now: Millis) {
-        self.heard.in_use_since.get_or_insert(now);
-        let latest = self.clock_heard() + self.intervals.heartbeat;
+    pub fn start_use(&mut self, now: Millis) {
+        self.contact.in_use_since.get_or_insert(now);
+        let latest = self.clock_received_at() + self.intervals.heartbeat;
         self.schedule.no_later_than(latest);
     }
 
     /// Records that no attempt of this host runs there.
     pub fn end_use(&mut self) {
-        self.heard.in_use_since = None;
+        self.contact.in_use_since = None;
     }
 
     /// Gives all attempts there up: a new session begins.
-    pub fn begin_session(&mut self) {
+    pub fn start_session(&mut self) {
         self.session += 1;
         self.stops.clear();
         self.free.clear();
@@ -235,15 +235,15 @@
     }
 
     /// Has a heartbeat sent to it at once.
-    pub fn hurry_heartbeat(&mut self, now: Millis) {
+    pub fn schedule_heartbeat_now(&mut self, now: Millis) {
         self.schedule.make_due(now);
     }
 
     /// Returns whether a heartbeat is due, and plans the next one if it is.
     pub(super) fn take_due_heartbeat(&mut self, now: Millis, silent_ms: Millis) -> bool {
         let intervals = &self.intervals;
-        let alive = self.heard.is_alive(now, intervals);
-        let interval = match (alive, self.heard.in_use_since) {
+        let alive = self.contact.is_alive(now, intervals);
+        let interval = match (alive, self.contact.in_use_since) {
             (true, Some(_)) => intervals.heartbeat,
             (true, None) => intervals.idle,
             (false, _) => silent_ms.max(intervals.idle),
@@ -259,8 +259,8 @@
 
     /// Returns whether its clock is to be asked for: not if that was done within
     /// `pause_ms`. Records that it is.
-    pub fn ask_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
-        self.schedule.ask_clock(now, pause_ms)
+    pub fn try_request_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
+        self.schedule.try_request_clock(now, pause_ms)
     }
 
     /// Returns whether it is believed to have resources of any pool free.
--- a/crates/dispatcher-core/src/peers/schedule.rs
+++ b/crates/dispatcher-core/src/peers/schedule.rs
@@ -52,7 +52,7 @@
 
     /// Returns whether the peer's clock is to be asked for: not if that was done within
     /// `pause_ms`. Records that it is.
-    pub(super) fn ask_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
+    pub(super) fn try_request_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
         if self.clock_asked.is_some_and(|at| at + pause_ms > now) {
             return false;
         }
