--- a/crates/dispatcher-core/tests/holder_choice.rs
+++ b/crates/dispatcher-core/tests/holder_choice.rs
@@ -10,7 +10,7 @@
     choose_holder, Availability, Distance, ExpectedStart, HolderView, TaskView,
 };
 use gannetridge_dispatcher_core::Millis;
-use holders::{play, Load, Task, Way, RUNNING_MS};
+use holders::{simulate, AdjustViews, Load, Task, RUNNING_MS};
 use support::case;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -172,7 +172,7 @@
 /// The rule, and the alternatives that it is compared with: the least expected end regardless of
 /// the hall and the age of updates, two holders picked by a hash, the own hall only, and no targets
 /// far from the data.
-const WAYS: [(&str, Way); 5] = [
+const WAYS: [(&str, AdjustViews); 5] = [
     ("rule", |_, _| {}),
     ("least of all", |_, holders| {
         for holder in holders {
@@ -203,27 +203,29 @@
 /// `shares` computes over the tasks of all seeds.
 fn compare_ways<const N: usize>(load: &Load, shares: fn(&[Task]) -> [f64; N]) -> [[f64; N]; 5] {
     WAYS.map(|(way, change)| {
-        let tasks: Vec<Task> = (0..4).flat_map(|seed| play(load, change, seed)).collect();
+        let tasks: Vec<Task> = (0..4)
+            .flat_map(|seed| simulate(load, change, seed))
+            .collect();
         println!("{way}: {:.3?}", shares(&tasks));
         shares(&tasks)
     })
 }
 
 const EQUAL: Load = Load {
-    asked: |_, _| 0.8,
-    news_ms: 100,
+    demand: |_, _| 0.8,
+    update_ms: 100,
     hot: 0.0,
     cut_at: Millis::MAX,
 };
 
 case!(a_burst_in_one_hall_spreads_without_overloading_others, {
-    let asked = |hall, now| match (hall, now) {
+    let demand = |hall, now| match (hall, now) {
         (0, 1_000..2_500) => 1.4,
         _ => 0.55,
     };
-    let [rule, _, two, own, _] = compare_ways(&Load { asked, ..EQUAL }, |tasks| {
-        let spread = |task: &Task| task.hall() == 0 && (1_300..2_500).contains(&task.asked_at);
-        let others = |task: &Task| task.hall() > 0 && (1_000..2_500).contains(&task.asked_at);
+    let [rule, _, two, own, _] = compare_ways(&Load { demand, ..EQUAL }, |tasks| {
+        let spread = |task: &Task| task.hall() == 0 && (1_300..2_500).contains(&task.arrived_at);
+        let others = |task: &Task| task.hall() > 0 && (1_000..2_500).contains(&task.arrived_at);
         [spread, others].map(|some| share(tasks, some, Task::is_late))
     });
     assert!(rule[0] < own[0] / 3.0 && rule[0] < two[0]);
@@ -231,9 +233,9 @@
 });
 
 case!(halls_of_equal_load_do_not_exchange_work, {
-    let asked = |_, _| 0.9;
-    let [rule, least, ..] = compare_ways(&Load { asked, ..EQUAL }, |tasks| {
-        [Task::is_elsewhere, Task::is_late].map(|holds| share(tasks, |_| true, holds))
+    let demand = |_, _| 0.9;
+    let [rule, least, ..] = compare_ways(&Load { demand, ..EQUAL }, |tasks| {
+        [Task::is_in_other_hall, Task::is_late].map(|holds| share(tasks, |_| true, holds))
     });
     assert!(rule[0] < 0.02 && rule[1] < least[1]);
 });
@@ -241,39 +243,39 @@
 case!(tasks_with_little_slack_leave_a_hot_rack_first, {
     let [rule, .., near] = compare_ways(&Load { hot: 0.5, ..EQUAL }, |tasks| {
         let far = |tight: bool| {
-            let some = |task: &Task| task.hot && (task.may_wait_ms < RUNNING_MS) == tight;
+            let some = |task: &Task| task.is_hot && (task.may_wait_ms < RUNNING_MS) == tight;
             share(tasks, some, Task::is_far)
         };
         [
             far(true),
             far(false),
-            share(tasks, |task| task.hot, Task::is_late),
+            share(tasks, |task| task.is_hot, Task::is_late),
         ]
     });
     assert!(rule[0] > 2.0 * rule[1] && rule[2] < 0.7 * near[2]);
 });
 
 case!(updates_that_are_two_seconds_old_do_no_harm, {
-    let news_ms = 2_000;
-    let [rule, least, ..] = compare_ways(&Load { news_ms, ..EQUAL }, |tasks| {
+    let update_ms = 2_000;
+    let [rule, least, ..] = compare_ways(&Load { update_ms, ..EQUAL }, |tasks| {
         [share(tasks, |_| true, Task::is_late)]
     });
     assert!(rule[0] < 0.03 && rule[0] < least[0]);
 });
 
 case!(a_hall_that_is_cut_off_uses_its_own_targets, {
-    let asked = |hall, _| if hall == 0 { 1.2 } else { 0.5 };
+    let demand = |hall, _| if hall == 0 { 1.2 } else { 0.5 };
     let cut_at = 1_000;
     let load = Load {
         cut_at,
-        asked,
+        demand,
         ..EQUAL
     };
     let [rule, least, ..] = compare_ways(&load, |tasks| {
-        let at_first = |task: &Task| task.hall() == 0 && (1_000..3_500).contains(&task.asked_at);
-        let after = |task: &Task| task.hall() == 0 && task.asked_at > 3_600;
+        let at_first = |task: &Task| task.hall() == 0 && (1_000..3_500).contains(&task.arrived_at);
+        let after = |task: &Task| task.hall() == 0 && task.arrived_at > 3_600;
         [
-            share(tasks, at_first, Task::is_elsewhere),
+            share(tasks, at_first, Task::is_in_other_hall),
             share(tasks, after, Task::is_late),
         ]
     });
--- a/crates/dispatcher-core/tests/support/holders.rs
+++ b/crates/dispatcher-core/tests/support/holders.rs
@@ -15,13 +15,13 @@
 const FAR_SLOWDOWN: f64 = 1.5;
 
 /// Changes what an owner knows, to weigh another way of choosing against the rule.
-pub type Way = fn(&TaskView, &mut [HolderView]);
+pub type AdjustViews = fn(&TaskView, &mut [HolderView]);
 
 pub struct Load {
     /// What a hall's callers ask for, as a part of what its targets can do, at a time in ms.
-    pub asked: fn(hall: usize, now: Millis) -> f64,
+    pub demand: fn(hall: usize, now: Millis) -> f64,
     /// How often an owner hears a holder, in ms.
-    pub news_ms: Millis,
+    pub update_ms: Millis,
     /// The part of the tasks whose data lie in rack 1; the others have none.
     pub hot: f64,
     /// From when hall 0 is cut off.
@@ -30,9 +30,9 @@
 
 pub struct Task {
     pub owner: usize,
-    pub asked_at: Millis,
+    pub arrived_at: Millis,
     pub may_wait_ms: Millis,
-    pub hot: bool,
+    pub is_hot: bool,
     holder: Option<usize>,
     begun_at: Option<Millis>,
 }
@@ -43,17 +43,17 @@
     }
 
     pub fn is_far(&self) -> bool {
-        self.hot && self.holder.is_some_and(|at| at % HALL % 4 != 1)
+        self.is_hot && self.holder.is_some_and(|at| at % HALL % 4 != 1)
     }
 
-    pub fn is_elsewhere(&self) -> bool {
+    pub fn is_in_other_hall(&self) -> bool {
         self.holder.is_some_and(|at| at / HALL != self.hall())
     }
 
     /// Returns whether it waited longer than it runs, or never began.
     pub fn is_late(&self) -> bool {
         let begun = self.begun_at;
-        begun.is_none_or(|at| at - self.asked_at > RUNNING_MS)
+        begun.is_none_or(|at| at - self.arrived_at > RUNNING_MS)
     }
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// Plays a load, and returns all tasks.
-pub fn play(load: &Load, way: Way, seed: u64) -> Vec<Task> {
+pub fn simulate(load: &Load, way: AdjustViews, seed: u64) -> Vec<Task> {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut queues: Vec<Vec<Task>> = (0..HOSTS).map(|_| Vec::new()).collect();
     let mut ends = vec![Vec::new(); HOSTS];
@@ -81,7 +81,7 @@
             let room = slots - (ends[at].len() + queues[at].len()) as i64;
             for (owner, heard) in heard.iter_mut().enumerate() {
                 let turn = now + (7 * owner + 13 * at) as Millis;
-                if owner == at || (turn % load.news_ms == 0 && !is_cut(owner, at)) {
+                if owner == at || (turn % load.update_ms == 0 && !is_cut(owner, at)) {
                     heard[at] = News {
                         at: now,
                         room,
@@ -92,20 +92,20 @@
         }
         for owner in 0..HOSTS {
             let hosts_part = SLOTS.iter().sum::<i64>() as f64 / HALL as f64;
-            let asked = (load.asked)(owner / HALL, now) * hosts_part;
+            let asked = (load.demand)(owner / HALL, now) * hosts_part;
             if rng.random_bool(asked / RUNNING_MS as f64) {
                 waiting.push(Task {
                     owner,
-                    asked_at: now,
+                    arrived_at: now,
                     may_wait_ms: [RUNNING_MS / 4, 5 * RUNNING_MS][rng.random_range(0..2)],
-                    hot: rng.random_bool(load.hot),
+                    is_hot: rng.random_bool(load.hot),
                     holder: None,
                     begun_at: None,
                 });
             }
         }
         for mut task in std::mem::take(&mut waiting) {
-            let Some(left_ms) = (task.asked_at + task.may_wait_ms).checked_sub(now) else {
+            let Some(left_ms) = (task.arrived_at + task.may_wait_ms).checked_sub(now) else {
                 done.push(task);
                 continue;
             };
@@ -144,13 +144,13 @@
     rng: &mut Pcg64,
 ) -> Vec<Task> {
     ends.retain(|end| *end > now);
-    queue.sort_by_key(|task| std::cmp::Reverse(task.asked_at + task.may_wait_ms));
+    queue.sort_by_key(|task| std::cmp::Reverse(task.arrived_at + task.may_wait_ms));
     let mut begun = Vec::new();
     while (ends.len() as i64) < slots {
         let Some(mut task) = queue.pop() else {
             break;
         };
-        if now - task.asked_at <= task.may_wait_ms {
+        if now - task.arrived_at <= task.may_wait_ms {
             let took = rng.random_range(RUNNING_MS / 2..=RUNNING_MS * 3 / 2) as f64;
             let slowdown = if task.is_far() { FAR_SLOWDOWN } else { 1.0 };
             ends.push(now + (took * slowdown) as Millis);
@@ -178,7 +178,7 @@
             expected_ms,
         },
     };
-    let is_near = !task.hot || at % HALL % 4 == 1;
+    let is_near = !task.is_hot || at % HALL % 4 == 1;
     let (near, far) = if is_near {
         (place, Availability::None)
     } else {
--- a/crates/dispatcher-core/tests/support/room.rs
+++ b/crates/dispatcher-core/tests/support/slot_pool.rs
@@ -35,7 +35,7 @@
         Self { slots, ..self }
     }
 
-    pub fn from(self, hall: &'static str) -> Self {
+    pub fn from_hall(self, hall: &'static str) -> Self {
         Self { hall, ..self }
     }
 
@@ -75,15 +75,15 @@
 
 /// How the slots are given out.
 #[derive(Clone)]
-pub struct Ways {
+pub struct Policy {
     pub order: Order,
     pub shares: Shares,
     /// Whether jobs begin as units.
-    pub units: bool,
+    pub starts_whole_jobs: bool,
     /// Whether long tasks are bounded.
-    pub bounded: bool,
+    pub bounds_long_tasks: bool,
     /// Whether jobs are refused on arrival.
-    pub refusing: bool,
+    pub refuses_on_arrival: bool,
 }
 
 /// What became of jobs, and the slots times ms that they took.
@@ -94,7 +94,7 @@
     pub late: f64,
     pub slot_ms: f64,
     /// Time for which jobs waited that were refused.
-    pub in_vain_ms: f64,
+    pub refused_wait_ms: f64,
 }
 
 #[derive(Debug, Default)]
@@ -106,7 +106,7 @@
 
 impl Outcome {
     /// What a queue got, in all halls or in one.
-    pub fn got(&self, queue: &str, hall: Option<&str>) -> Got {
+    pub fn totals(&self, queue: &str, hall: Option<&str>) -> Got {
         let mut sum = Got::default();
         for ((other, from), got) in &self.by_origin {
             if *other == queue && hall.is_none_or(|hall| hall == *from) {
@@ -114,7 +114,7 @@
                 sum.on_time += got.on_time;
                 sum.late += got.late;
                 sum.slot_ms += got.slot_ms;
-                sum.in_vain_ms += got.in_vain_ms;
+                sum.refused_wait_ms += got.refused_wait_ms;
             }
         }
         sum
@@ -122,7 +122,7 @@
 
     /// The part of a queue's jobs that were answered on time.
     pub fn on_time(&self, queue: &str) -> f64 {
-        let got = self.got(queue, None);
+        let got = self.totals(queue, None);
         got.on_time / got.jobs
     }
 
@@ -204,7 +204,7 @@
 /// A holder's slots, and the jobs that compete for them.
 struct Room<'a> {
     slots: u32,
-    ways: Ways,
+    ways: Policy,
     jobs: BTreeMap<usize, Job<'a>>,
     /// When tasks end, and their jobs.
     running: Vec<(Millis, usize, &'a Load)>,
@@ -252,7 +252,7 @@
             waiting: load.tasks,
             left: load.tasks,
         };
-        if !self.ways.refusing || job.is_taken(self.free() > 0, &self.load()) {
+        if !self.ways.refuses_on_arrival || job.is_taken(self.free() > 0, &self.load()) {
             self.jobs.insert(id, job);
         }
     }
@@ -280,7 +280,7 @@
 
     fn give_up(&mut self, now: Millis) {
         for job in self.jobs.values().filter(|job| job.is_worthless(now)) {
-            self.outcome.of(job.load).in_vain_ms += (now - job.arrived) as f64;
+            self.outcome.of(job.load).refused_wait_ms += (now - job.arrived) as f64;
         }
         self.jobs.retain(|_, job| !job.is_worthless(now));
     }
@@ -292,7 +292,7 @@
             let core_ms = u64::from(job.waiting) * job.load.core_ms();
             *begun_core_ms.entry(job.load.urgency).or_insert(0) += core_ms;
         }
-        let room_cpu = if self.ways.units {
+        let room_cpu = if self.ways.starts_whole_jobs {
             self.cpu()
         } else {
             u32::MAX
@@ -319,7 +319,7 @@
         let able = waiting.iter().filter(|(id, _)| {
             let task = self.jobs[id].load.task();
             let may_start = long.may_start(now, &task, self.cpu(), held.clone());
-            may_start || !self.ways.bounded
+            may_start || !self.ways.bounds_long_tasks
         });
         let first = able.min_by(|(_, a), (_, b)| (self.ways.order)(a, b, &shares));
         let Some((id, task)) = first else {
@@ -338,7 +338,7 @@
 }
 
 /// Plays loads on `slots` for `ms`.
-pub fn play(seed: u64, slots: u32, ms: Millis, loads: &[Load], ways: Ways) -> Outcome {
+pub fn simulate(seed: u64, slots: u32, ms: Millis, loads: &[Load], ways: Policy) -> Outcome {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut arrivals: Vec<(Millis, &Load)> = Vec::new();
     for load in loads {
--- a/crates/dispatcher-core/tests/waiting_order.rs
+++ b/crates/dispatcher-core/tests/waiting_order.rs
@@ -1,7 +1,7 @@
 //! Which callers are served where tasks compete for the targets of one holder.
 
-#[path = "support/room.rs"]
-mod room;
+#[path = "support/slot_pool.rs"]
+mod slot_pool;
 mod support;
 
 use std::cmp::Ordering;
@@ -16,7 +16,7 @@
 use gannetridge_wire::Name;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use room::{play, Load, Order, Outcome, Ways};
+use slot_pool::{simulate, Load, Order, Outcome, Policy};
 use support::case;
 
 const SLOTS: u32 = 40;
@@ -51,43 +51,43 @@
     load("long", 2, 4, 900, part)
 }
 
-fn ways(order: Order) -> Ways {
-    Ways {
+fn ways(order: Order) -> Policy {
+    Policy {
         order,
         shares: Shares::default(),
-        units: true,
-        bounded: true,
-        refusing: false,
+        starts_whole_jobs: true,
+        bounds_long_tasks: true,
+        refuses_on_arrival: false,
     }
 }
 
 /// The order by class, without shares, units or a bound for long tasks.
-fn by_class() -> Ways {
+fn by_class() -> Policy {
     let order: Order = |a, b, _| {
         let key = |task: &WaitingEntry<'_>| (task.class, task.origin.urgency, task.slack_ms);
         key(a).cmp(&key(b))
     };
-    Ways {
-        units: false,
-        bounded: false,
+    Policy {
+        starts_whole_jobs: false,
+        bounds_long_tasks: false,
         ..ways(order)
     }
 }
 
-fn plays(loads: &[Load], ways: &Ways) -> impl Iterator<Item = Outcome> {
+fn plays(loads: &[Load], ways: &Policy) -> impl Iterator<Item = Outcome> {
     let (loads, ways) = (loads.to_vec(), ways.clone());
-    (0..SEEDS).map(move |seed| play(seed, SLOTS, MS, &loads, ways.clone()))
+    (0..SEEDS).map(move |seed| simulate(seed, SLOTS, MS, &loads, ways.clone()))
 }
 
 /// Returns the share of a queue's jobs that are on time, as the mean of all seeds.
-fn on_time(queue: &str, loads: &[Load], ways: &Ways) -> f64 {
+fn on_time(queue: &str, loads: &[Load], ways: &Policy) -> f64 {
     let parts = plays(loads, ways).map(|outcome| outcome.on_time(queue));
     parts.sum::<f64>() / SEEDS as f64
 }
 
 /// Returns the mean number of slots that a queue got, from one hall or all, over all seeds.
-fn slots(queue: &str, hall: Option<&str>, loads: &[Load], ways: &Ways) -> f64 {
-    let got = plays(loads, ways).map(|outcome| outcome.got(queue, hall).slot_ms);
+fn slots(queue: &str, hall: Option<&str>, loads: &[Load], ways: &Policy) -> f64 {
+    let got = plays(loads, ways).map(|outcome| outcome.totals(queue, hall).slot_ms);
     got.sum::<f64>() / (SEEDS * MS) as f64
 }
 
@@ -129,14 +129,14 @@
 
 case!(an_overload_is_refused_on_arrival_instead_of_after_a_wait, {
     let loads = [middle(2.0), long(0.3)];
-    let refusing = Ways {
-        refusing: true,
+    let refusing = Policy {
+        refuses_on_arrival: true,
         ..ways(compare)
     };
     let in_vain_ms = |ways| {
-        let outcomes = plays(&loads, ways).map(|outcome| outcome.got("middle", None));
+        let outcomes = plays(&loads, ways).map(|outcome| outcome.totals("middle", None));
         let sums = outcomes.fold((0.0, 0.0), |(waited, jobs), got| {
-            (waited + got.in_vain_ms, jobs + got.jobs)
+            (waited + got.refused_wait_ms, jobs + got.jobs)
         });
         sums.0 / sums.1
     };
@@ -156,8 +156,8 @@
 
 case!(jobs_that_start_as_a_unit_end_on_time, {
     let loads = [quick(1.5), middle(0.34), long(0.19)];
-    let alone = Ways {
-        units: false,
+    let alone = Policy {
+        starts_whole_jobs: false,
         ..ways(compare)
     };
     let gained = on_time("quick", &loads, &ways(compare)) - on_time("quick", &loads, &alone);
@@ -167,7 +167,7 @@
 /// Returns whether three halls, one of which has twice the callers, get equal shares of a capacity
 /// that is too small.
 fn halls_get_equal_shares(order: Order) -> bool {
-    let from = |hall, part| middle(part).from(hall);
+    let from = |hall, part| middle(part).from_hall(hall);
     let loads = [from("north", 0.5), from("south", 0.5), from("west", 1.0)];
     let fair_share = f64::from(SLOTS) / 3.0;
     ["north", "south", "west"].into_iter().all(|hall| {
@@ -202,8 +202,8 @@
 
 case!(no_slot_is_idle_while_a_task_waits_without_reservations, {
     let loads = [quick(0.3), middle(0.4), long(0.5)];
-    let unbounded = Ways {
-        bounded: false,
+    let unbounded = Policy {
+        bounds_long_tasks: false,
         ..ways(compare)
     };
     assert!(plays(&loads, &unbounded).all(|outcome| outcome.idle_slot_ms == 0.0));
