--- a/crates/dispatcher-core/src/jobs/crashes.rs
+++ b/crates/dispatcher-core/src/jobs/crashes.rs
@@ -1,8 +1,9 @@
-//! Tasks under which targets crashed, as far as this host knows.
+//! Counts of target crashes per task.
 //!
-//! A task's owner counts them over its attempts, and tells the hosts of its hall: its caller
-//! may send the job again to any of them. They are remembered for as long as that, and while
-//! the job is under way. What follows is decided by [`crate::rules::crashes`].
+//! A task's owner counts the crashes over all attempts and reports them to the hosts of its
+//! hall, since the caller may submit the job again to any of them. Counts are kept while the
+//! job is in progress and as long as it may be submitted again. [`crate::rules::crashes`]
+//! decides what follows from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -17,61 +18,61 @@
 use crate::Millis;
 
 use super::ending::remember;
-use super::job::parse_task;
+use super::job::parse_task_name;
 use super::{Jobs, Remembered};
 
-/// What is known of one task.
+/// The crashes of targets that ran one task.
 #[derive(Clone, Copy, Debug, Default)]
-struct History {
+struct CrashHistory {
     crashes: Crashes,
-    /// The latest attempt that was counted: an end may be told twice.
-    attempt: u32,
+    /// The latest attempt that was counted, so that an end reported twice counts once.
+    latest_attempt: u32,
     /// When the last crash became known, in ms of this host's clock.
-    last: Millis,
+    last_crash: Millis,
 }
 
-/// The tasks under which targets crashed.
+/// Tasks whose targets crashed, by task name.
 #[derive(Debug, Default)]
 pub(super) struct CrashedTasks {
-    tasks: BTreeMap<Name, Remembered<History>>,
-    /// Those that others are to be told of.
-    news: BTreeSet<Name>,
+    tasks: BTreeMap<Name, Remembered<CrashHistory>>,
+    /// Tasks with counts that haven't been sent to the other hosts of the hall.
+    unreported: BTreeSet<Name>,
 }
 
 impl CrashedTasks {
-    /// Counts a crash; returns what is known by then, if an attempt ended by one that wasn't
-    /// counted yet.
+    /// Counts the crash that ended an attempt and returns the new counts; `None` if the attempt
+    /// ended otherwise or was counted before.
     fn count(&mut self, now: Millis, end: &AttemptEnd) -> Option<Crashes> {
         let mut history = self.history(&end.id.task).unwrap_or_default();
-        if end.id.attempt <= history.attempt || !history.crashes.add(end.outcome) {
+        if end.id.attempt <= history.latest_attempt || !history.crashes.add(end.outcome) {
             return None;
         }
-        history.attempt = end.id.attempt;
-        history.last = now;
+        history.latest_attempt = end.id.attempt;
+        history.last_crash = now;
         remember(
             &mut self.tasks,
             &end.id.task,
             history,
             now + ANSWER_RETENTION_MS,
         );
-        self.news.insert(end.id.task.clone());
+        self.unreported.insert(end.id.task.clone());
         Some(history.crashes)
     }
 
-    /// Takes in what another host counted.
-    fn told(&mut self, now: Millis, record: &CrashRecord) {
+    /// Merges the counts of another host; the higher of each count applies.
+    fn merge(&mut self, now: Millis, record: &CrashRecord) {
         let known = self.history(&record.task).unwrap_or_default();
-        let theirs = Crashes {
+        let received = Crashes {
             alone: record.alone,
             beside_others: record.beside_others,
             perhaps: record.perhaps,
         };
-        let crashes = known.crashes.elementwise_max(&theirs);
-        let history = History {
+        let crashes = known.crashes.elementwise_max(&received);
+        let history = CrashHistory {
             crashes,
-            attempt: known.attempt.max(record.attempt),
-            last: if crashes == known.crashes {
-                known.last
+            latest_attempt: known.latest_attempt.max(record.attempt),
+            last_crash: if crashes == known.crashes {
+                known.last_crash
             } else {
                 now
             },
@@ -84,33 +85,37 @@
         );
     }
 
-    fn history(&self, task: &str) -> Option<History> {
+    fn history(&self, task: &str) -> Option<CrashHistory> {
         self.tasks.get(task).map(|remembered| remembered.value)
     }
 
-    /// Returns what becomes of a task.
+    /// Returns what follows for a task from its crashes.
     fn verdict(&self, now: Millis, task: &str) -> CrashDecision {
         let history = self.history(task).unwrap_or_default();
-        history.crashes.decision(now.saturating_sub(history.last))
+        history
+            .crashes
+            .decision(now.saturating_sub(history.last_crash))
     }
 
-    /// Returns the tasks of a job that are known.
-    fn of_job<'a>(&'a self, job: &'a str) -> impl Iterator<Item = (&'a Name, &'a History)> {
+    /// Returns the tasks of a job whose targets crashed.
+    fn of_job<'a>(&'a self, job: &'a str) -> impl Iterator<Item = (&'a Name, &'a CrashHistory)> {
         let tasks = self
             .tasks
             .range::<str, _>((Bound::Included(job), Bound::Unbounded));
-        let tasks =
-            tasks.take_while(move |(task, _)| parse_task(task).is_some_and(|name| name.job == job));
+        let tasks = tasks
+            .take_while(move |(task, _)| parse_task_name(task).is_some_and(|name| name.job == job));
         tasks.map(|(task, remembered)| (task, &remembered.value))
     }
 
-    /// Returns the latest attempt at any task of a job that was counted.
+    /// Returns the highest number of a counted attempt among the tasks of a job.
     pub(super) fn latest_attempt(&self, job: &str) -> Option<u32> {
-        self.of_job(job).map(|(_, history)| history.attempt).max()
+        self.of_job(job)
+            .map(|(_, history)| history.latest_attempt)
+            .max()
     }
 
-    /// Returns why a job ends, if a task of it is given up.
-    fn ends(&self, job: &str) -> Option<EndCause> {
+    /// Returns why a job has to end, if one of its tasks is given up.
+    fn end_cause(&self, job: &str) -> Option<EndCause> {
         let mut cause = None;
         for (_, history) in self.of_job(job) {
             match history.crashes.decision(0) {
@@ -122,30 +127,29 @@
         cause
     }
 
-    /// Remembers the tasks of a job that came again for as long as from their last crash, and has
-    /// others told of them again.
-    fn came_again(&mut self, now: Millis, job: &str) {
+    /// Extends the retention of a submitted job's counts and marks them to be reported again.
+    fn extend_retention(&mut self, now: Millis, job: &str) {
         let tasks: Vec<Name> = self.of_job(job).map(|(task, _)| task.clone()).collect();
         for task in tasks {
             if let Some(remembered) = self.tasks.get_mut(&task) {
                 remembered.until = now + ANSWER_RETENTION_MS;
-                self.news.insert(task);
+                self.unreported.insert(task);
             }
         }
     }
 
-    /// Forgets tasks whose callers come no more, but for those that `is_under_way`.
-    pub(super) fn expire(&mut self, now: Millis, is_under_way: impl Fn(&str) -> bool) {
+    /// Removes expired counts, except those of jobs for which `is_in_progress` holds.
+    pub(super) fn remove_expired(&mut self, now: Millis, is_in_progress: impl Fn(&str) -> bool) {
         self.tasks.retain(|task, remembered| {
-            let job = parse_task(task).map(|name| name.job);
-            remembered.until > now || job.is_some_and(&is_under_way)
+            let job = parse_task_name(task).map(|name| name.job);
+            remembered.until > now || job.is_some_and(&is_in_progress)
         });
     }
 }
 
 impl Jobs {
-    /// Counts a crash under a task, whether or not its job is under way here; of one that is
-    /// given up the job ends.
+    /// Counts the crash that ended an attempt, whether or not its job is in progress here, and
+    /// ends the job if the task is given up.
     pub fn count_crash(&mut self, now: Millis, end: &AttemptEnd) {
         if !self.safeguards.crashes_are_counted {
             return;
@@ -158,25 +162,26 @@
             CrashDecision::Trusted | CrashDecision::Quarantined => Suspicion::Suspect,
         };
         self.record_suspicion(&end.id.task, crashes, suspicion);
-        self.end_if_given_up(now, &end.id.task);
+        self.end_job_if_given_up(now, &end.id.task);
     }
 
-    /// Takes in what another host of the hall counted.
+    /// Merges counts received from another host of the hall, and ends jobs with tasks that are
+    /// given up.
     pub fn merge_crash_records(&mut self, now: Millis, records: &[CrashRecord]) {
         for record in records {
-            self.crashed.told(now, record);
-            self.end_if_given_up(now, &record.task);
+            self.crashed.merge(now, record);
+            self.end_job_if_given_up(now, &record.task);
         }
     }
 
-    /// Takes what the hosts of the hall are to be told.
+    /// Removes and returns the counts that have to be sent to the other hosts of the hall.
     pub fn take_crash_updates(&mut self) -> Vec<CrashRecord> {
-        let news = std::mem::take(&mut self.crashed.news);
-        let records = news.into_iter().filter_map(|task| {
+        let unreported = std::mem::take(&mut self.crashed.unreported);
+        let records = unreported.into_iter().filter_map(|task| {
             let history = self.crashed.history(&task)?;
             Some(CrashRecord {
                 task,
-                attempt: history.attempt,
+                attempt: history.latest_attempt,
                 alone: history.crashes.alone,
                 beside_others: history.crashes.beside_others,
                 perhaps: history.crashes.perhaps,
@@ -185,37 +190,38 @@
         records.collect()
     }
 
-    /// Clears a task that is done.
+    /// Removes the counts of a task that is done.
     pub(super) fn clear_suspicion(&mut self, task: &Name) {
         if let Some(cleared) = self.crashed.tasks.remove(task) {
-            self.crashed.news.remove(task);
+            self.crashed.unreported.remove(task);
             self.record_suspicion(task, cleared.value.crashes, Suspicion::Cleared);
         }
     }
 
-    /// Returns whether a task is to run alone on a target.
+    /// Returns whether a task is quarantined: it has to run alone on a target.
     #[must_use]
-    pub(super) fn runs_alone(&self, now: Millis, task: impl FnOnce() -> Name) -> bool {
-        // Most of the time there is none.
+    pub(super) fn is_quarantined(&self, now: Millis, task: impl FnOnce() -> Name) -> bool {
+        // Avoids building the task's name in the usual case, without any crash.
         !self.crashed.tasks.is_empty()
             && self.crashed.verdict(now, &task()) == CrashDecision::Quarantined
     }
 
-    /// Looks at what is known of a job that was accepted.
-    pub(super) fn accepted_again(&mut self, now: Millis, job: &Name) {
-        self.crashed.came_again(now, job);
+    /// Applies the counts known for a job that was just accepted, which may be a resubmission.
+    pub(super) fn apply_known_crashes(&mut self, now: Millis, job: &Name) {
+        self.crashed.extend_retention(now, job);
         self.end_if_any_given_up(now, job);
     }
 
-    /// Ends a job of which a task is known to be given up.
+    /// Ends a job if any of its tasks is given up.
     fn end_if_any_given_up(&mut self, now: Millis, job: &Name) {
-        if let Some(cause) = self.crashed.ends(job) {
+        if let Some(cause) = self.crashed.end_cause(job) {
             self.end(now, job, cause);
         }
     }
 
-    fn end_if_given_up(&mut self, now: Millis, task: &Name) {
-        let job = parse_task(task).map(|name| Name::from(name.job));
+    /// Ends a task's job if it is in progress here and any of its tasks is given up.
+    fn end_job_if_given_up(&mut self, now: Millis, task: &Name) {
+        let job = parse_task_name(task).map(|name| Name::from(name.job));
         if let Some(job) = job.filter(|job| self.jobs.contains_key(job)) {
             self.end_if_any_given_up(now, &job);
         }
--- a/crates/dispatcher-core/src/jobs/ending.rs
+++ b/crates/dispatcher-core/src/jobs/ending.rs
@@ -1,8 +1,7 @@
-//! How jobs end, and what is remembered of them.
+//! Ends of jobs, and what is kept of them for resubmissions.
 //!
-//! When and with which answer is decided by [`crate::rules::giving_up`]. Answers of
-//! completed and cancelled jobs are remembered for callers that send them again; of
-//! others the number from which their attempts are counted then.
+//! [`crate::rules::giving_up`] decides when a job ends and with which answer. Of completed
+//! and cancelled jobs the answer is kept; of all others the number of the next attempt.
 
 use std::collections::BTreeMap;
 
@@ -20,38 +19,39 @@
 use super::job::{attempt_id, Job, TaskState};
 use super::{AttemptToStop, Jobs, Remembered, MAX_REMEMBERED};
 
-/// What decides about waiting jobs besides themselves.
+/// Inputs of a tick besides the jobs themselves.
 pub struct TickContext<F> {
-    /// Whether this host has just started.
+    /// Whether this host has just started and has held no target.
     pub starting: bool,
-    /// What decides first between waiting tasks.
+    /// The configured order of waiting tasks.
     pub order: WaitingOrder,
-    /// Returns whether a target that could run an order is known to have room.
+    /// Returns whether a target that could run an order is known to have free capacity.
     pub has_room: F,
 }
 
 impl Jobs {
-    /// Does what is due.
-    pub fn tick(&mut self, now: Millis, around: &TickContext<impl Fn(&TaskOrder) -> bool>) {
+    /// Removes expired entries, retries lost tasks and gives up jobs, as far as due.
+    pub fn tick(&mut self, now: Millis, context: &TickContext<impl Fn(&TaskOrder) -> bool>) {
         self.answers.retain(|_, answer| answer.until > now);
         self.next_attempts.retain(|_, next| next.until > now);
         let jobs = &self.jobs;
-        self.crashed.expire(now, |job| jobs.contains_key(job));
+        self.crashed
+            .remove_expired(now, |job| jobs.contains_key(job));
         let due = self.jobs.iter().filter(|(_, job)| job.next_due <= now);
         let due: Vec<Name> = due.map(|(id, _)| id.clone()).collect();
         let on_time = self.on_time_urgency();
         for id in due {
-            self.do_due(now, &id, on_time, around);
+            self.tick_job(now, &id, on_time, context);
         }
     }
 
-    /// Does what is due for one job.
-    fn do_due(
+    /// Applies a tick to one job.
+    fn tick_job(
         &mut self,
         now: Millis,
         id: &Name,
         on_time: Option<u8>,
-        around: &TickContext<impl Fn(&TaskOrder) -> bool>,
+        context: &TickContext<impl Fn(&TaskOrder) -> bool>,
     ) {
         let job = self.jobs.get_mut(id).expect("the job was found");
         for task in &mut job.tasks {
@@ -60,7 +60,7 @@
                 task.state = TaskState::Waiting;
             }
         }
-        if let Some(cause) = self.end_due(now, id, on_time, around) {
+        if let Some(cause) = self.due_end_cause(now, id, on_time, context) {
             return self.end(now, id, cause);
         }
         let job = self.jobs.get_mut(id).expect("the job was found");
@@ -68,25 +68,26 @@
         self.update_ready(now, id);
     }
 
-    /// Returns why a job is to be given up now, if it is.
-    fn end_due(
+    /// Returns why a job has to be given up now, or `None` if it goes on.
+    fn due_end_cause(
         &self,
         now: Millis,
         id: &Name,
         on_time: Option<u8>,
-        around: &TickContext<impl Fn(&TaskOrder) -> bool>,
+        context: &TickContext<impl Fn(&TaskOrder) -> bool>,
     ) -> Option<EndCause> {
         let job = &self.jobs[id];
         let urgency = job.queue.urgency;
         let passed_over =
-            job.is_late() && giving_up::is_passed_over(around.order, urgency, on_time);
-        let open = job.open(passed_over, around.starting);
+            job.is_late() && giving_up::is_passed_over(context.order, urgency, on_time);
+        let open = job.open_job(passed_over, context.starting);
         let cause = giving_up::end_cause(now, &open, job.open_estimates())?;
-        // Room is looked for last, and only where it matters: it costs a look at all targets.
-        if around.order == WaitingOrder::Class || !giving_up::is_lack_of_resources(cause) {
+        // The search for free capacity goes over all targets, so it runs only if its result can
+        // change the decision.
+        if context.order == WaitingOrder::Class || !giving_up::is_lack_of_resources(cause) {
             return Some(cause);
         }
-        let has_room = self.first_waiting_orders(id).iter().any(&around.has_room);
+        let has_room = self.first_waiting_orders(id).iter().any(&context.has_room);
         let open = OpenJob {
             has_free_target: has_room,
             ..open
@@ -94,7 +95,8 @@
         giving_up::end_cause(now, &open, job.open_estimates())
     }
 
-    /// The caller of a request is gone; its job ends unless others wait.
+    /// Removes a request whose caller disconnected, and ends the job if no other request waits
+    /// for its answer.
     pub fn remove_request(&mut self, now: Millis, request_id: RequestId) {
         let Some(id) = self.by_request.remove(&request_id) else {
             return;
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Cancels a job; returns whether it is known.
+    /// Cancels a job in progress. Returns whether the job is in progress or its final answer
+    /// is kept.
     pub fn cancel(&mut self, now: Millis, id: &Name) -> bool {
         if self.jobs.contains_key(id) {
             self.end(now, id, EndCause::Cancelled);
@@ -116,7 +119,7 @@
         self.answers.contains_key(id)
     }
 
-    /// Ends all jobs, since the host does.
+    /// Ends all jobs because the host stops.
     pub fn end_all(&mut self, now: Millis) {
         let ids: Vec<Name> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -124,39 +127,40 @@
         }
     }
 
-    /// Returns the jobs of which tasks wait and nothing runs.
+    /// Returns the jobs with waiting tasks and without attempts that run or may run.
     #[must_use]
     pub fn without_attempts(&self) -> Vec<Name> {
-        let waiting = self.ready.iter().map(|ready| &ready.job);
-        let standing = waiting.filter(|id| !self.jobs[*id].runs());
-        standing.cloned().collect()
+        let waiting = self.ready.iter().map(|key| &key.job);
+        let without_attempts = waiting.filter(|id| !self.jobs[*id].has_attempts());
+        without_attempts.cloned().collect()
     }
 
-    /// Ends a job.
+    /// Ends a job, if it is in progress, with the answer that follows from the cause.
     pub fn end(&mut self, now: Millis, id: &Name, cause: EndCause) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let not_run = !job.may_have_begun() || !self.safeguards.begun_is_not_refused;
+        let not_run = !job.may_have_started() || !self.safeguards.begun_is_not_refused;
         let answer = giving_up::answer(cause, not_run, job.objective_ms);
         self.end_with(now, id, cause, answer);
     }
 
-    /// Refuses a job that has just arrived; its caller may come back.
+    /// Refuses a job that has just arrived; its caller may submit it again.
     ///
     /// # Panics
     ///
-    /// Panics if a task of it may have begun: then it can't be said not to have run.
+    /// Panics if the job is not in progress, or if one of its tasks may have started: a refusal
+    /// says that nothing has run.
     pub fn refuse_on_arrival(&mut self, now: Millis, id: &Name, retry_after_ms: Millis) {
-        assert!(!self.jobs[id].may_have_begun());
+        assert!(!self.jobs[id].may_have_started());
         let answer = Answer::Refused { retry_after_ms };
         self.end_with(now, id, EndCause::RefusedOnArrival, answer);
     }
 
     fn end_with(&mut self, now: Millis, id: &Name, cause: EndCause, answer: Answer) {
         let job = self.jobs.remove(id).expect("the job is known");
-        if let Some(ready) = &job.ready {
-            self.ready.remove(ready);
+        if let Some(key) = &job.ready_key {
+            self.ready.remove(key);
         }
         self.stop_attempts(id, &job);
         for request_id in &job.request_ids {
@@ -171,7 +175,7 @@
             job: id.clone(),
             queue: job.queue.name.clone(),
             cause,
-            done: job.done(),
+            done: job.done_count(),
             starts: job.starts,
             took_ms: now.saturating_sub(job.accepted),
             objective_ms: job.objective_ms,
@@ -179,22 +183,19 @@
     }
 
     fn stop_attempts(&mut self, id: &Name, job: &Job) {
-        let mut within = vec![0; job.spec.steps.len()];
+        let mut tasks_seen = vec![0; job.spec.steps.len()];
         for task in &job.tasks {
-            let position = within[task.step];
-            within[task.step] += 1;
-            if let Some(place) = task.state.place() {
-                let id = attempt_id(id, task.step, position, task.attempt);
-                self.stops.push(AttemptToStop {
-                    location: place,
-                    id,
-                });
+            let index_in_step = tasks_seen[task.step];
+            tasks_seen[task.step] += 1;
+            if let Some(location) = task.state.location() {
+                let id = attempt_id(id, task.step, index_in_step, task.attempt);
+                self.stops.push(AttemptToStop { location, id });
             }
         }
     }
 
-    /// Remembers a final answer; of a job that may be sent again, from where its
-    /// attempts are counted then.
+    /// Keeps a completed or cancelled job's answer; for any other job, the number of the first
+    /// attempt of a resubmission.
     fn remember_end(&mut self, now: Millis, id: &Name, job: &Job, answer: Answer) {
         let until = now + ANSWER_RETENTION_MS;
         if matches!(answer, Answer::Completed | Answer::Cancelled) {
@@ -206,6 +207,7 @@
     }
 }
 
+/// Inserts a value to be kept until a time; a full map loses its first entry by name.
 pub(super) fn remember<T>(
     remembered: &mut BTreeMap<Name, Remembered<T>>,
     id: &Name,
--- a/crates/dispatcher-core/src/jobs/job.rs
+++ b/crates/dispatcher-core/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! One job under way: its tasks and how far each has got.
+//! A job in progress: its tasks, the state of each, and the names of attempts.
 
 use gannetridge_wire::Name;
 
@@ -10,35 +10,35 @@
 use crate::spec::JobSpec;
 use crate::Millis;
 
-/// Where an attempt runs.
+/// The host whose target runs an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptLocation {
-    /// On a target that this host holds.
+    /// This host holds the target's lease.
     Local,
-    /// On a target that a peer holds.
+    /// The named peer holds the target's lease.
     Peer(Name),
 }
 
-/// How far a task has got.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum TaskState {
-    /// Earlier steps aren't done.
+    /// A step on which it depends isn't done.
     Blocked,
     /// It waits for a target.
     Waiting,
-    /// A peer is asked to start it and has not answered.
+    /// The named peer was asked to start it and hasn't confirmed the start.
     HandedOver(Name),
     /// An attempt runs.
     Running(AttemptLocation),
-    /// Its last attempt was lost and may run until then, not longer.
+    /// The peer of its last attempt was lost; the attempt may run until this time.
     Lost(Millis),
-    /// It is done.
     Done,
 }
 
 impl TaskState {
-    /// Returns where an attempt runs or may run, if one may.
-    pub(super) fn place(&self) -> Option<AttemptLocation> {
+    /// Returns where an attempt runs or may run; `None` for a lost one, whose session with
+    /// the peer was given up.
+    pub(super) fn location(&self) -> Option<AttemptLocation> {
         match self {
             Self::Running(place) => Some(place.clone()),
             Self::HandedOver(peer) => Some(AttemptLocation::Peer(peer.clone())),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the peer at which an attempt runs or may run, if one may.
+    /// Returns the peer at which an attempt runs or may run.
     pub(super) fn peer(&self) -> Option<&Name> {
         match self {
             Self::HandedOver(peer) | Self::Running(AttemptLocation::Peer(peer)) => Some(peer),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns whether an attempt runs, or a peer is asked to start one.
+    /// Returns whether an attempt runs or a peer was asked to start one.
     pub(super) fn is_running(&self) -> bool {
         matches!(self, Self::Running(_) | Self::HandedOver(_))
     }
@@ -70,15 +70,15 @@
     /// The position of its step in the job.
     pub(super) step: usize,
     pub(super) state: TaskState,
-    /// The number of its attempt that runs, or of the next one.
+    /// The number of the current attempt, or of the next one if none runs.
     pub(super) attempt: u32,
-    /// Attempts that failed.
+    /// The number of failed attempts.
     pub(super) failures: u32,
     /// Targets that further attempts avoid.
-    pub(super) avoid: Vec<Name>,
-    /// Peers aren't asked on mere belief before this time: one had no resources
-    /// after all. Reservations are used at any time.
-    pub(super) ask_after: Millis,
+    pub(super) avoided_targets: Vec<Name>,
+    /// Before this time no peer is asked unless it reserved resources: the last one that was
+    /// asked didn't start the task.
+    pub(super) ask_peers_after: Millis,
 }
 
 impl Task {
@@ -88,76 +88,76 @@
             state: TaskState::Blocked,
             attempt,
             failures: 0,
-            avoid: Vec::new(),
-            ask_after: 0,
+            avoided_targets: Vec::new(),
+            ask_peers_after: 0,
         }
     }
 
-    pub(super) fn avoid(&mut self, target: &Name) {
-        if !self.avoid.contains(target) {
-            self.avoid.push(target.clone());
+    pub(super) fn avoid_target(&mut self, target: &Name) {
+        if !self.avoided_targets.contains(target) {
+            self.avoided_targets.push(target.clone());
         }
     }
 }
 
-/// A job under way; times in ms of this host's clock.
+/// A job in progress; times in ms of this host's clock.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) queue: Queue,
     pub(super) spec: JobSpec,
-    /// The callers' requests that wait for its answer.
+    /// The requests that wait for its answer.
     pub(super) request_ids: Vec<RequestId>,
     pub(super) accepted: Millis,
-    /// Its latency objective, from its acceptance.
+    /// The latency objective, counted from the acceptance.
     pub(super) objective_ms: Millis,
-    /// When its answer has to leave.
+    /// When the answer has to be sent.
     pub(super) deadline: Millis,
     pub(super) tasks: Vec<Task>,
-    /// Whether a task of it was started, or is lost.
-    pub(super) begun: bool,
-    /// Starts asked for.
+    /// Whether a task was started, or was lost and may have started.
+    pub(super) started: bool,
+    /// The number of attempts started on targets of this host or by peers.
     pub(super) starts: u32,
-    /// Its place among the jobs with tasks that wait.
-    pub(super) ready: Option<Ready>,
-    /// Nothing is due before this time.
+    /// Its key among the jobs with waiting tasks.
+    pub(super) ready_key: Option<ReadyKey>,
+    /// Ticks before this time leave the job unchanged.
     pub(super) next_due: Millis,
 }
 
 impl Job {
-    /// Returns the priority of a task of a step.
+    /// Returns the priority of the tasks of a step.
     pub(super) fn priority(&self, now: Millis, step: usize) -> Priority {
         let job = WaitingJob {
             age_ms: now.saturating_sub(self.accepted),
             objective_ms: self.objective_ms,
-            started: self.begun,
+            started: self.started,
             urgency: self.queue.urgency,
         };
         priority(&job, self.spec.steps[step].estimate_ms)
     }
 
-    /// Returns whether it will be late, as its place among those that wait shows.
+    /// Returns whether the job waits and will miss its objective, as of its last update.
     pub(super) fn is_late(&self) -> bool {
-        let ready = self.ready.as_ref();
-        ready.is_some_and(|ready| ready.class == PriorityClass::Late)
+        let key = self.ready_key.as_ref();
+        key.is_some_and(|key| key.class == PriorityClass::Late)
     }
 
-    /// Returns what decides whether the job is given up, as far as no room is known for it;
-    /// `starting` tells whether this host has just started.
-    pub(super) fn open(&self, passed_over: bool, starting: bool) -> OpenJob {
+    /// Returns the inputs of the decision to give the job up, assuming that no target is known
+    /// to have free capacity for it. `starting` is set while this host has just started.
+    pub(super) fn open_job(&self, passed_over: bool, starting: bool) -> OpenJob {
         OpenJob {
             accepted: self.accepted,
             deadline: self.deadline,
             objective_ms: self.objective_ms,
-            may_have_started: self.may_have_begun(),
-            is_running: self.runs(),
+            may_have_started: self.may_have_started(),
+            is_running: self.has_attempts(),
             passed_over,
             has_free_target: false,
             host_is_starting: starting,
         }
     }
 
-    /// Returns whether an attempt runs, or a peer was asked to start one.
-    pub(super) fn runs(&self) -> bool {
+    /// Returns whether an attempt runs or a peer was asked to start one.
+    pub(super) fn has_attempts(&self) -> bool {
         self.tasks.iter().any(|task| task.state.is_running())
     }
 
@@ -168,25 +168,26 @@
         open.map(|task| self.spec.steps[task.step].estimate_ms)
     }
 
-    /// Returns whether a task may have begun: only where none can have, the job may
-    /// be said not to have run.
-    pub(super) fn may_have_begun(&self) -> bool {
+    /// Returns whether a task may have started. If none can have, the caller may be told
+    /// that the job has not run.
+    pub(super) fn may_have_started(&self) -> bool {
         let handed_over = |task: &Task| matches!(task.state, TaskState::HandedOver(_));
-        self.begun || self.tasks.iter().any(handed_over)
+        self.started || self.tasks.iter().any(handed_over)
     }
 
-    /// Returns how many tasks are done.
-    pub(super) fn done(&self) -> usize {
+    /// Returns the number of tasks that are done.
+    pub(super) fn done_count(&self) -> usize {
         let done = self.tasks.iter();
         done.filter(|task| task.state == TaskState::Done).count()
     }
 
-    /// Returns the position of the first task of a step.
-    pub(super) fn first_of(&self, step: usize) -> Option<usize> {
+    /// Returns the position of a step's first task in the job.
+    pub(super) fn first_task_of(&self, step: usize) -> Option<usize> {
         self.tasks.iter().position(|task| task.step == step)
     }
 
-    /// Returns when something is due next: with tasks that wait, at any moment.
+    /// Returns the earliest time at which a tick may change the job: with waiting tasks, at
+    /// every tick.
     pub(super) fn earliest_due(&self) -> Millis {
         let times = self.tasks.iter().map(|task| match &task.state {
             TaskState::Waiting => 0,
@@ -199,8 +200,8 @@
         times.min().unwrap_or(0).min(self.deadline)
     }
 
-    /// Lets tasks wait for targets whose earlier steps are done.
-    pub(super) fn unblock(&mut self) {
+    /// Moves blocked tasks to waiting once the steps on which they depend are done.
+    pub(super) fn unblock_tasks(&mut self) {
         let open = self.tasks.iter();
         let open: Vec<usize> = open
             .filter(|task| task.state != TaskState::Done)
@@ -216,27 +217,27 @@
     }
 }
 
-/// A job's place among those with tasks that wait; the least goes first.
+/// Sort key of a job with waiting tasks; the least goes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Ready {
+pub(super) struct ReadyKey {
     pub(super) class: PriorityClass,
     pub(super) urgency: u8,
-    /// The latest start that keeps the class, in ms of this host's clock; may lie
-    /// before its start.
+    /// The latest start at which the job keeps its class, in ms of this host's clock;
+    /// negative if that lies before the clock's zero.
     pub(super) latest_start: i64,
     pub(super) job: Name,
 }
 
-/// Returns the name of a step: the job's id, the number of its sending (always 0
-/// here) and the step's position.
+/// Returns a step's name: the job's id, the submission number (always 0 here) and the
+/// step's position.
 pub(super) fn step_name(job: &Name, step: usize) -> String {
     format!("{job}.0.{step}")
 }
 
-/// Returns the id of an attempt at the `within`-th task of a step.
-pub(super) fn attempt_id(job: &Name, step: usize, within: usize, attempt: u32) -> AttemptId {
+/// Returns the id of an attempt at the task of a step at position `index_in_step`.
+pub(super) fn attempt_id(job: &Name, step: usize, index_in_step: usize, attempt: u32) -> AttemptId {
     AttemptId {
-        task: format!("{}.{within}", step_name(job, step)).into(),
+        task: format!("{}.{index_in_step}", step_name(job, step)).into(),
         attempt,
     }
 }
@@ -247,16 +248,16 @@
     pub(super) job: &'a str,
     pub(super) step: usize,
     /// The task's position within its step.
-    pub(super) within: usize,
+    pub(super) index_in_step: usize,
 }
 
-/// Reads a task's name as [`attempt_id`] makes it.
-pub(super) fn parse_task(name: &str) -> Option<TaskName<'_>> {
+/// Parses a task's name as written by [`attempt_id`]; `None` if it has another form.
+pub(super) fn parse_task_name(name: &str) -> Option<TaskName<'_>> {
     let (job, rest) = name.split_once('.')?;
     let mut numbers = rest.split('.').skip(1);
     Some(TaskName {
         job,
         step: numbers.next()?.parse().ok()?,
-        within: numbers.next()?.parse().ok()?,
+        index_in_step: numbers.next()?.parse().ok()?,
     })
 }
--- a/crates/dispatcher-core/src/jobs/mod.rs
+++ b/crates/dispatcher-core/src/jobs/mod.rs
@@ -1,10 +1,10 @@
-//! The owner's side: the jobs of the callers that are connected to this host.
+//! State of the jobs that this host owns: those of the callers connected to it.
 //!
-//! [`Jobs`] owns them until their answers, and for a while what was answered. It
-//! tells which tasks wait for targets, and takes in where they run and how their
-//! attempts end. What it decides by stands in [`crate::rules`]: admission,
-//! priority, retry, giving up. It relies on the dispatcher to hand on what it
-//! leaves in [`Jobs::take_stops`] and [`Jobs::take_actions`].
+//! [`Jobs`] holds each job until it is answered, and for a limited time what a
+//! resubmission needs. It lists the tasks that wait for targets and records where
+//! attempts run and how they end. The rules that it applies are in
+//! [`crate::rules`]: admission, priority, retry, giving up, crashes. The dispatcher
+//! has to carry out what [`Jobs::take_stops`] and [`Jobs::take_actions`] return.
 
 mod attempts;
 mod crashes;
@@ -30,60 +30,60 @@
 use crashes::CrashedTasks;
 pub use ending::TickContext;
 pub use job::AttemptLocation;
-use job::{Job, Ready, Task};
+use job::{Job, ReadyKey, Task};
 pub use waiting::{demand, WaitingTask};
 
-/// How long a caller waits that names no time, in ms.
+/// Deadline of a job whose caller sets none, in ms.
 const DEFAULT_DEADLINE_MS: Millis = 5_000;
-/// Answers leave this long before callers stop waiting, in ms.
+/// Answers are sent this long before the caller's deadline, in ms.
 const ANSWER_MARGIN_MS: Millis = 20;
-/// The most jobs whose answers, or next attempts, are remembered: bounds memory.
+/// Maximum number of entries in each map of [`Remembered`] values; bounds memory.
 const MAX_REMEMBERED: usize = 4_096;
 
-/// Something about an ended job that is remembered until a time.
+/// A value that is kept until a time.
 #[derive(Clone, Debug)]
 struct Remembered<T> {
     value: T,
     until: Millis,
 }
 
-/// A submitted job that was checked.
+/// A submitted job that passed the checks on admission.
 #[derive(Debug)]
 pub struct CheckedSubmission<'a> {
-    /// The caller's request.
+    /// The request to which the answer is sent.
     pub request_id: RequestId,
-    /// The job's id.
+    /// The job's id, which its caller chose.
     pub id: Name,
-    /// What is submitted.
+    /// The job and its deadline.
     pub submit: Submit,
-    /// Its queue.
+    /// The queue to which the job was addressed.
     pub queue: &'a Queue,
-    /// The version of the configuration that it was checked against.
+    /// Version of the configuration against which the job was checked.
     pub version: u64,
 }
 
-/// An attempt that is to be stopped.
+/// An attempt that has to be stopped because its job has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptToStop {
-    /// Where it runs.
+    /// Where it runs or may run.
     pub location: AttemptLocation,
-    /// The attempt.
+    /// The task and the attempt's number.
     pub id: AttemptId,
 }
 
-/// The jobs of the callers that are connected here.
+/// The jobs that this host owns.
 #[derive(Default)]
 pub struct Jobs {
     safeguards: Safeguards,
     jobs: BTreeMap<Name, Job>,
     by_request: HashMap<RequestId, Name>,
-    /// Jobs with tasks that wait. Within a class the order doesn't change with
-    /// time; classes are looked at again with each tick.
-    ready: BTreeSet<Ready>,
-    /// Answers of jobs that ended, for callers that send them again.
+    /// Jobs with waiting tasks, in priority order. Time changes a job's class but not
+    /// the order within a class; each tick updates the classes.
+    ready: BTreeSet<ReadyKey>,
+    /// Final answers of ended jobs, for callers that submit them again.
     answers: BTreeMap<Name, Remembered<Answer>>,
-    /// The first attempt's number of jobs that may be sent again, above all
-    /// earlier ones.
+    /// The number of the first attempt for ended jobs that may be submitted again;
+    /// higher than all numbers used before.
     next_attempts: BTreeMap<Name, Remembered<u32>>,
     crashed: CrashedTasks,
     stops: Vec<AttemptToStop>,
@@ -91,7 +91,7 @@
 }
 
 impl Jobs {
-    /// Creates an owner without jobs.
+    /// Creates an empty set of jobs.
     #[must_use]
     pub fn new(safeguards: Safeguards) -> Self {
         Self {
@@ -100,37 +100,37 @@
         }
     }
 
-    /// Returns how many jobs are under way.
+    /// Returns the number of jobs in progress.
     #[must_use]
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Returns whether no job is under way.
+    /// Returns whether no job is in progress.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Returns how many jobs of a queue have not begun.
+    /// Returns the number of jobs of a queue that have not started.
     #[must_use]
     pub fn pending(&self, queue: &Name) -> usize {
         let jobs = self.jobs.values();
-        jobs.filter(|job| job.queue.name == *queue && !job.begun)
+        jobs.filter(|job| job.queue.name == *queue && !job.started)
             .count()
     }
 
-    /// Returns the queue of a job that is under way.
+    /// Returns the queue of a job in progress.
     #[must_use]
     pub fn queue(&self, id: &Name) -> Option<&Queue> {
         self.jobs.get(id).map(|job| &job.queue)
     }
 
-    /// Returns what decides on arrival whether a job can be served.
+    /// Returns the inputs of the decision on arrival, [`crate::rules::arrival`].
     ///
     /// # Panics
     ///
-    /// Panics if there is no such job.
+    /// Panics if the job is not in progress.
     #[must_use]
     pub fn arriving<'a>(&self, now: Millis, id: &'a Name, has_room: bool) -> ArrivingJob<'a> {
         let job = &self.jobs[id];
@@ -145,11 +145,12 @@
         }
     }
 
-    /// Returns a job's state, if it is known.
+    /// Returns a job's state: [`Answer::Running`] or [`Answer::Queued`] while it is in
+    /// progress, then its final answer as long as that is kept.
     #[must_use]
     pub fn state(&self, id: &Name) -> Option<Answer> {
         if let Some(job) = self.jobs.get(id) {
-            return Some(if job.begun {
+            return Some(if job.started {
                 Answer::Running
             } else {
                 Answer::Queued
@@ -158,17 +159,18 @@
         self.answers.get(id).map(|answer| answer.value.clone())
     }
 
-    /// Takes the attempts that are to be stopped.
+    /// Removes and returns the attempts that have to be stopped.
     pub fn take_stops(&mut self) -> Vec<AttemptToStop> {
         std::mem::take(&mut self.stops)
     }
 
-    /// Takes the actions that are to be carried out.
+    /// Removes and returns the actions that have to be carried out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Accepts a job that was checked; one that is known already is joined.
+    /// Accepts a job. A request for a job in progress waits for that job's answer; one for
+    /// a job whose final answer is kept gets that answer.
     pub fn submit(&mut self, now: Millis, checked: CheckedSubmission<'_>) {
         let CheckedSubmission { request_id, id, .. } = &checked;
         let (request_id, id) = (*request_id, id.clone());
@@ -198,8 +200,8 @@
         let chain_ms = submit.spec.chain_ms();
         let objective_ms = queue.latency_objective(chain_ms);
         let next = self.next_attempts.get(&id).map_or(1, |next| next.value);
-        let counted = self.crashed.latest_attempt(&id).unwrap_or(0);
-        let attempt = next.max(counted + 1);
+        let latest_crashed = self.crashed.latest_attempt(&id).unwrap_or(0);
+        let attempt = next.max(latest_crashed + 1);
         let mut tasks = Vec::new();
         for (step, spec) in submit.spec.steps.iter().enumerate() {
             tasks.extend((0..spec.count).map(|_| Task::new(step, attempt)));
@@ -222,15 +224,15 @@
             objective_ms,
             deadline: now + deadline_ms.saturating_sub(ANSWER_MARGIN_MS),
             tasks,
-            begun: false,
+            started: false,
             starts: 0,
-            ready: None,
+            ready_key: None,
             next_due: 0,
         };
-        job.unblock();
+        job.unblock_tasks();
         self.by_request.insert(request_id, id.clone());
         self.jobs.insert(id.clone(), job);
         self.update_ready(now, &id);
-        self.accepted_again(now, &id);
+        self.apply_known_crashes(now, &id);
     }
 }
--- a/crates/dispatcher-core/src/jobs/waiting.rs
+++ b/crates/dispatcher-core/src/jobs/waiting.rs
@@ -1,7 +1,7 @@
-//! Tasks that wait for targets: their order, and the orders that start them.
+//! Waiting tasks: their priority order, and the [`TaskOrder`]s that start them.
 //!
-//! Jobs with waiting tasks are kept sorted by [`crate::rules::priority`], so that one
-//! event doesn't sort them anew.
+//! Jobs with waiting tasks are kept sorted by [`crate::rules::priority`], so that no event
+//! has to sort all of them.
 
 use std::cmp::Ordering;
 
@@ -13,34 +13,34 @@
 use crate::spec::Resources;
 use crate::Millis;
 
-use super::job::{attempt_id, step_name, Ready, TaskState};
+use super::job::{attempt_id, step_name, ReadyKey, TaskState};
 use super::Jobs;
 
 /// A task that waits for a target.
 #[derive(Clone, Debug)]
 pub struct WaitingTask {
-    /// Its job.
+    /// The id of its job.
     pub job: Name,
     /// Its position in the job.
     pub index: usize,
-    /// Its queue.
+    /// The name of its job's queue.
     pub queue: Name,
-    /// Its priority.
+    /// Its priority when it was listed.
     pub priority: Priority,
-    /// What it takes.
+    /// The resources that it takes on a target.
     pub resources: Resources,
-    /// Its estimate, in ms.
+    /// The caller's estimate of its running time, in ms.
     pub estimate_ms: Millis,
     /// Time since its job was accepted, in ms.
     pub age_ms: Millis,
-    /// Whether peers may be asked that are only believed to have the resources.
+    /// Whether peers may be asked that haven't reserved resources for it.
     pub may_ask_peers: bool,
-    /// Whether it is to run alone on a target.
+    /// Whether it has to run alone on a target, since targets crashed under it.
     pub runs_alone: bool,
 }
 
 impl WaitingTask {
-    /// Returns its size.
+    /// Returns the task as [`crate::rules::long_tasks`] sees it.
     #[must_use]
     pub fn size(&self) -> TaskSize {
         TaskSize {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns for whom it runs, where this host is in `own_hall`.
+    /// Returns the queue and hall to whose share the task counts; `own_hall` is this host's.
     #[must_use]
     pub fn origin<'a>(&'a self, own_hall: &'a Name) -> Origin<'a> {
         Origin {
@@ -68,50 +68,51 @@
         self.ready.is_empty()
     }
 
-    /// Returns the most urgent of the jobs with waiting tasks that haven't begun and can still
-    /// be on time.
+    /// Returns the urgency of the most urgent of the jobs that haven't started and can still
+    /// meet their objective.
     pub(super) fn on_time_urgency(&self) -> Option<u8> {
-        let ready = self.ready.iter();
-        let on_time = ready.filter(|ready| ready.class == PriorityClass::OnTime);
-        on_time.map(|ready| ready.urgency).min()
+        let keys = self.ready.iter();
+        let on_time = keys.filter(|key| key.class == PriorityClass::OnTime);
+        on_time.map(|key| key.urgency).min()
     }
 
-    /// Returns waiting tasks, the first in priority first, `most` at most.
+    /// Returns at most `limit` waiting tasks, by priority of their jobs.
     #[must_use]
-    pub fn waiting(&self, now: Millis, most: usize) -> Vec<WaitingTask> {
+    pub fn waiting(&self, now: Millis, limit: usize) -> Vec<WaitingTask> {
         let mut waiting = Vec::new();
-        for ready in &self.ready {
-            let job = &self.jobs[&ready.job];
+        for key in &self.ready {
+            let job = &self.jobs[&key.job];
             let priority = Priority {
-                class: ready.class,
-                urgency: ready.urgency,
-                slack_ms: ready.latest_start - now as i64,
+                class: key.class,
+                urgency: key.urgency,
+                slack_ms: key.latest_start - now as i64,
             };
             for (index, task) in job.tasks.iter().enumerate() {
                 if task.state == TaskState::Waiting {
                     waiting.push(WaitingTask {
-                        job: ready.job.clone(),
+                        job: key.job.clone(),
                         index,
                         queue: job.queue.name.clone(),
                         priority,
                         resources: job.spec.steps[task.step].resources,
                         estimate_ms: job.spec.steps[task.step].estimate_ms,
                         age_ms: now.saturating_sub(job.accepted),
-                        may_ask_peers: task.ask_after <= now,
-                        runs_alone: self.runs_alone(now, || self.order(&ready.job, index).id.task),
+                        may_ask_peers: task.ask_peers_after <= now,
+                        runs_alone: self
+                            .is_quarantined(now, || self.order(&key.job, index).id.task),
                     });
                 }
             }
-            if waiting.len() >= most {
-                waiting.truncate(most);
+            if waiting.len() >= limit {
+                waiting.truncate(limit);
                 break;
             }
         }
         waiting
     }
 
-    /// Updates a job's place among those with tasks that wait. One whose answer
-    /// is worth nothing any more has none.
+    /// Updates a job's key among the jobs with waiting tasks. A job has none without waiting
+    /// tasks, or once its answer is worthless.
     pub(super) fn update_ready(&mut self, now: Millis, id: &Name) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -121,35 +122,35 @@
         let priorities = waiting.map(|task| job.priority(now, task.step));
         let first = priorities.min_by(|a, b| a.partial_cmp(b).unwrap_or(Ordering::Equal));
         let first = first.filter(|priority| priority.class != PriorityClass::Worthless);
-        let ready = first.map(|priority| Ready {
+        let key = first.map(|priority| ReadyKey {
             class: priority.class,
             urgency: priority.urgency,
             latest_start: priority.slack_ms + now as i64,
             job: id.clone(),
         });
-        if job.ready == ready {
+        if job.ready_key == key {
             return;
         }
-        if let Some(old) = std::mem::replace(&mut job.ready, ready.clone()) {
+        if let Some(old) = std::mem::replace(&mut job.ready_key, key.clone()) {
             self.ready.remove(&old);
         }
-        self.ready.extend(ready);
+        self.ready.extend(key);
     }
 
-    /// Returns the order for a waiting task.
+    /// Returns the order that starts a task.
     ///
     /// # Panics
     ///
-    /// Panics if there is no such task.
+    /// Panics if the job is not in progress or has no task at `index`.
     #[must_use]
     pub fn order(&self, id: &Name, index: usize) -> TaskOrder {
         let job = &self.jobs[id];
         let task = &job.tasks[index];
         let step = &job.spec.steps[task.step];
-        let first = job.first_of(task.step);
-        let within = index - first.expect("the task itself is of its step");
+        let first = job.first_task_of(task.step);
+        let index_in_step = index - first.expect("the step has at least this task");
         TaskOrder {
-            id: attempt_id(id, task.step, within, task.attempt),
+            id: attempt_id(id, task.step, index_in_step, task.attempt),
             specification: job.spec.specification.clone(),
             pool: job.queue.pool.clone(),
             resources: step.resources,
@@ -160,48 +161,48 @@
                 step: step_name(id, task.step).into(),
                 most,
             }),
-            avoid: task.avoid.clone(),
+            avoid: task.avoided_targets.clone(),
         }
     }
 
-    /// Returns the pool of a job's targets.
+    /// Returns the pool whose targets may run a job.
     ///
     /// # Panics
     ///
-    /// Panics if there is no such job.
+    /// Panics if the job is not in progress.
     #[must_use]
     pub fn pool(&self, id: &Name) -> &Name {
         &self.jobs[id].queue.pool
     }
 
-    /// Returns orders for the first task of each step of a job that hasn't begun, where it
-    /// waits for no other step.
+    /// Returns orders for the first task of each step, for those of these tasks that wait.
     ///
     /// # Panics
     ///
-    /// Panics if there is no such job.
+    /// Panics if the job is not in progress.
     #[must_use]
     pub fn first_waiting_orders(&self, id: &Name) -> Vec<TaskOrder> {
         let job = &self.jobs[id];
         let steps = 0..job.spec.steps.len();
-        let firsts = steps.filter_map(|step| job.first_of(step));
+        let firsts = steps.filter_map(|step| job.first_task_of(step));
         let waiting = firsts.filter(|index| job.tasks[*index].state == TaskState::Waiting);
         waiting.map(|index| self.order(id, index)).collect()
     }
 
-    /// Returns orders for the first task of each step of a job.
+    /// Returns orders for the first task of each step; none if the job is not in progress.
     #[must_use]
     pub fn first_orders(&self, id: &Name) -> Vec<TaskOrder> {
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
         };
         let steps = 0..job.spec.steps.len();
-        let firsts = steps.filter_map(|step| job.first_of(step));
+        let firsts = steps.filter_map(|step| job.first_task_of(step));
         firsts.map(|index| self.order(id, index)).collect()
     }
 }
 
-/// Sums up waiting tasks of one pool, the first in priority first.
+/// Returns the demand of waiting tasks of one pool, which are in priority order; `None`
+/// without tasks.
 #[must_use]
 pub fn demand(tasks: &[&WaitingTask], pool: &Name) -> Option<Demand> {
     let first = tasks.first()?;
