--- a/crates/dispatcher-core/src/peers/choice.rs
+++ b/crates/dispatcher-core/src/peers/choice.rs
@@ -1,6 +1,7 @@
-//! The peers that get a task, and those to which a demand is advertised.
+//! Selects the peers that get a task, and those to which a demand is advertised.
 //!
-//! Brings together what is known of each peer and [`crate::rules::peer_choice`].
+//! Applies [`crate::rules::peer_choice`] and [`crate::rules::holder_choice`] to the known
+//! state of each peer.
 
 use std::collections::BTreeMap;
 
@@ -17,27 +18,26 @@
 use crate::spec::Resources;
 use crate::Millis;
 
-/// How long a message takes to a host of the same hall, in ms, with its handling there.
-const HALL_WAY_MS: Millis = 1;
-/// How long a message takes to a host of another hall, in ms, with its handling there.
-const OTHER_HALL_WAY_MS: Millis = 2;
+/// One-way delay to a host of the same hall, with the handling there, in ms.
+const SAME_HALL_DELAY_MS: Millis = 1;
+/// One-way delay to a host of another hall, with the handling there, in ms.
+const OTHER_HALL_DELAY_MS: Millis = 2;
 
-/// A peer that is believed to have the resources for a task.
+/// A peer that has, as far as known, the resources for a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenPeer {
-    /// The peer.
+    /// The peer's name.
     pub name: Name,
-    /// Whether a task may be handed to it now; else its clock has to be heard
-    /// first.
+    /// Whether a task may be handed to it now; otherwise its clock has to be requested first.
     pub has_fresh_clock: bool,
 }
 
-/// The holder that was chosen for a task.
+/// The holder chosen for a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChosenHolder {
     /// This host.
     Own {
-        /// Whether the task waits here.
+        /// Whether the task waits here instead of starting at once.
         waits: bool,
     },
     /// A peer.
@@ -45,7 +45,7 @@
 }
 
 impl Peers {
-    /// Returns whether any peer is believed to have such resources.
+    /// Returns whether any peer that accepts tasks has, as far as known, these resources free.
     #[must_use]
     pub fn may_fit(&self, now: Millis, resources: &Resources) -> bool {
         let peers = self.peers.values();
@@ -53,7 +53,7 @@
         open.any(|peer| peer.may_fit(resources))
     }
 
-    /// Returns whether any peer is believed to take a task with such needs, now or to wait.
+    /// Returns whether any peer would, as far as known, start or queue a task with these needs.
     #[must_use]
     pub fn may_accept(&self, now: Millis, resources: &Resources) -> bool {
         let peers = self.peers.values();
@@ -61,14 +61,14 @@
         open.any(|peer| peer.may_accept(resources))
     }
 
-    /// Returns what living peers' targets have to do, each with the age of the news in ms.
+    /// Returns the pool loads of the peers that accept tasks, each with its age in ms.
     pub fn loads(&self, now: Millis) -> impl Iterator<Item = (&PoolLoad, Millis)> {
         let peers = self.peers.values();
         let open = peers.filter(move |peer| peer.accepts_tasks(now));
         open.flat_map(move |peer| peer.loads(now))
     }
 
-    /// Adds what living peers' targets have to do to the loads of their halls.
+    /// Adds the pool loads of the peers that accept tasks to the loads of their halls.
     pub fn add_hall_loads(&self, now: Millis, halls: &mut BTreeMap<Name, HallLoad>) {
         for peer in self.peers.values().filter(|peer| peer.accepts_tasks(now)) {
             for (load, age_ms) in peer.loads(now) {
@@ -78,20 +78,21 @@
         }
     }
 
-    /// Returns whether a peer that was heard within a heartbeat had the resources for an order.
+    /// Returns whether a peer that replied within a heartbeat interval had the resources for an
+    /// order.
     #[must_use]
     pub fn has_free_capacity(&self, now: Millis, order: &TaskOrder) -> bool {
         let peers = self.peers.values();
-        let mut heard = peers.filter(|peer| {
+        let mut recent = peers.filter(|peer| {
             peer.accepts_tasks(now) && now <= peer.free_received_at + peer.intervals.heartbeat
         });
-        heard.any(|peer| peer.has_resources(order) || peer.has_free_capacity(order))
+        recent.any(|peer| peer.has_resources(order) || peer.has_free_capacity(order))
     }
 
-    /// Chooses a peer that is believed to have the resources for an order, and
-    /// takes them off that belief; see [`crate::rules::peer_choice`].
+    /// Chooses a peer that has, as far as known, the resources for an order, and deducts them
+    /// from its known free resources; see [`crate::rules::peer_choice`].
     ///
-    /// `is_asked` tells whether a request goes to a peer anyway.
+    /// `is_asked` returns whether a request goes to a peer anyway.
     pub fn choose_peer(
         &mut self,
         now: Millis,
@@ -123,8 +124,8 @@
         Some(chosen)
     }
 
-    /// Returns a peer that is believed to have a target for a task on which nothing runs, the
-    /// own hall's first.
+    /// Chooses a peer that has, as far as known, an idle target for a task; peers of the own
+    /// hall come first, then those whose clock is fresh.
     #[must_use]
     pub fn choose_with_idle_target(&self, now: Millis, order: &TaskOrder) -> Option<ChosenPeer> {
         let peers = self.peers.values();
@@ -139,10 +140,11 @@
         })
     }
 
-    /// Chooses the holder to which a task is handed, this host (`own`) among them, and takes
-    /// the task off what is believed of a peer; see [`crate::rules::holder_choice`].
+    /// Chooses the holder to which a task is handed, among the peers and this host (`own`). If
+    /// it is a peer, the task is deducted from the peer's known free capacity; see
+    /// [`crate::rules::holder_choice`].
     ///
-    /// `is_asked` tells whether a request goes to a peer anyway.
+    /// `is_asked` returns whether a request goes to a peer anyway.
     pub fn choose_holder(
         &mut self,
         now: Millis,
@@ -170,7 +172,7 @@
         };
         let has_fresh_clock = !views[choice.holder].stale_clock;
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.deduct_handed(order, urgency);
+            peer.deduct_handed_task(order, urgency);
         }
         Some(ChosenHolder::Peer(ChosenPeer {
             name,
@@ -178,7 +180,7 @@
         }))
     }
 
-    /// Returns what a peer offers a task, if it may take it.
+    /// Returns a peer as a candidate holder for a task; `None` if it can't accept the task.
     fn holder_view(
         &self,
         now: Millis,
@@ -195,9 +197,9 @@
         Some(HolderView {
             other_hall,
             transit_ms: if other_hall {
-                OTHER_HALL_WAY_MS
+                OTHER_HALL_DELAY_MS
             } else {
-                HALL_WAY_MS
+                SAME_HALL_DELAY_MS
             },
             extra_request: !is_asked(&peer.info.name),
             stale_clock: !peer.has_fresh_clock(now),
@@ -207,14 +209,18 @@
         })
     }
 
-    /// Returns the peers to which a demand is advertised, others each time if there
-    /// are many: not those of draining halls, unless there are no others.
+    /// Returns the peers to which the next demand is advertised. They rotate over all peers
+    /// that accept tasks; peers of draining halls are left out unless there are no others.
     pub fn next_demand_recipients(&mut self, now: Millis) -> Vec<Name> {
         let open = self.peers.iter();
         let open = open.filter(|(_, peer)| peer.accepts_tasks(now));
-        let (drained, serving): (Vec<_>, Vec<_>) =
+        let (draining, serving): (Vec<_>, Vec<_>) =
             open.partition(|(_, peer)| self.draining.contains(&peer.info.hall));
-        let open = if serving.is_empty() { drained } else { serving };
+        let open = if serving.is_empty() {
+            draining
+        } else {
+            serving
+        };
         let open: Vec<&Name> = open.into_iter().map(|(name, _)| name).collect();
         let first = self.next_advertised % open.len().max(1);
         let count = MAX_ADVERTISED_PEERS.min(open.len());
--- a/crates/dispatcher-core/src/peers/demand.rs
+++ b/crates/dispatcher-core/src/peers/demand.rs
@@ -1,5 +1,5 @@
-//! A peer's demand: tasks that wait there, for which resources may be reserved here. See
-//! [`crate::rules::peer_choice`].
+//! Demand that a peer advertised: tasks that wait there, for which this host may reserve
+//! resources. See [`crate::rules::peer_choice`].
 
 use crate::message::{Demand, Priority};
 use crate::rules::peer_choice::{aged, DEMAND_TTL_MS};
@@ -7,56 +7,59 @@
 
 use super::peer::Peer;
 
-/// A peer's demand.
+/// A peer's demand as received; times in ms of this host's clock.
 #[derive(Clone, Debug)]
-pub(super) struct HeardDemand {
+pub(super) struct ReceivedDemand {
     demand: Demand,
-    heard: Millis,
-    until: Millis,
+    received_at: Millis,
+    expires_at: Millis,
 }
 
-/// A peer's demand as it is at a time.
+/// A peer's demand that hasn't expired.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenDemand<'a> {
-    /// What is demanded.
+    /// The demand as received, less the reservations made for it.
     pub demand: &'a Demand,
-    /// Its priority by now.
+    /// Its priority, adjusted by the time since it was received.
     pub priority: Priority,
 }
 
 impl Peer {
-    /// Records its demand, or that it has none.
+    /// Replaces its demand.
     pub fn set_demand(&mut self, now: Millis, demand: Option<Demand>) {
-        self.demand = demand.map(|demand| HeardDemand {
+        self.demand = demand.map(|demand| ReceivedDemand {
             demand,
-            heard: now,
-            until: now + DEMAND_TTL_MS,
+            received_at: now,
+            expires_at: now + DEMAND_TTL_MS,
         });
     }
 
-    /// Returns whether it has a demand, or had one that isn't looked at yet.
+    /// Returns whether it has a demand, expired or not.
     #[must_use]
     pub fn has_demand(&self) -> bool {
         self.demand.is_some()
     }
 
-    /// Returns its demand if that is open and tasks may be handed to it.
+    /// Returns its demand if that hasn't expired and the peer is alive and not stopping.
     #[must_use]
     pub fn open_demand(&self, now: Millis) -> Option<OpenDemand<'_>> {
-        let heard = self.demand.as_ref()?;
-        let open = heard.until > now && self.accepts_tasks(now);
+        let received = self.demand.as_ref()?;
+        let open = received.expires_at > now && self.accepts_tasks(now);
         open.then(|| OpenDemand {
-            demand: &heard.demand,
-            priority: aged(&heard.demand.priority, now.saturating_sub(heard.heard)),
+            demand: &received.demand,
+            priority: aged(
+                &received.demand.priority,
+                now.saturating_sub(received.received_at),
+            ),
         })
     }
 
-    /// Takes one task off its demand: resources were reserved for it. The next
-    /// reservation after the last one waits until the peer advertises again.
+    /// Deducts one task, for which resources were reserved, from its demand. Without tasks left
+    /// nothing is reserved until the peer advertises again.
     pub fn deduct_from_demand(&mut self) {
-        if let Some(heard) = &mut self.demand {
-            heard.demand.tasks = heard.demand.tasks.saturating_sub(1);
-            if heard.demand.tasks == 0 {
+        if let Some(received) = &mut self.demand {
+            received.demand.tasks = received.demand.tasks.saturating_sub(1);
+            if received.demand.tasks == 0 {
                 self.demand = None;
             }
         }
--- a/crates/dispatcher-core/src/peers/load.rs
+++ b/crates/dispatcher-core/src/peers/load.rs
@@ -1,5 +1,5 @@
-//! What a peer's targets have free and have to do, as last heard, less what was handed over
-//! since.
+//! Known load of a peer's targets: free capacity and queued work as last received, less the
+//! tasks handed over since.
 
 use std::collections::HashSet;
 
@@ -15,93 +15,100 @@
 
 use super::peer::Peer;
 
-/// A target of a peer with room.
+/// A peer's target with free capacity.
 #[derive(Clone, Debug)]
 pub struct KnownFreeTarget {
-    /// The target, as the platform lists it.
+    /// The target's entry in the platform's list.
     pub entry: TargetEntry,
-    /// What is free there.
+    /// Its free resources as last received, less those of tasks handed over since.
     pub free: Resources,
 }
 
-/// What a peer's targets have free and have to do.
+/// The known load of a peer's targets.
 #[derive(Debug, Default)]
-pub(super) struct BelievedLoad {
-    heard: Millis,
-    room: Vec<KnownFreeTarget>,
+pub(super) struct KnownLoad {
+    received_at: Millis,
+    free_targets: Vec<KnownFreeTarget>,
     pools: Vec<PoolLoad>,
-    /// The labels of the targets that it holds.
+    /// Labels of the targets whose leases it holds.
     labels: HashSet<Name>,
 }
 
-/// Where a peer could take a task, as far as is believed.
+/// Where a peer could start or queue a task, as far as known.
 #[derive(Clone, Copy, Debug)]
-pub struct BelievedPlaces {
-    /// On targets near its data.
+pub struct KnownPlaces {
+    /// On targets near the task's data.
     pub near: Availability,
-    /// On other targets.
+    /// On all other targets.
     pub far: Availability,
-    /// The age of that belief, in ms.
+    /// Age of the load on which this is based, in ms.
     pub age_ms: Millis,
 }
 
 impl Peer {
-    /// Takes what it told of its targets.
-    pub fn set_load(&mut self, now: Millis, room: Vec<KnownFreeTarget>, pools: Vec<PoolLoad>) {
-        self.load.heard = now;
-        self.load.room = room;
+    /// Replaces the load of its targets.
+    pub fn set_load(
+        &mut self,
+        now: Millis,
+        free_targets: Vec<KnownFreeTarget>,
+        pools: Vec<PoolLoad>,
+    ) {
+        self.load.received_at = now;
+        self.load.free_targets = free_targets;
         self.load.pools = pools;
     }
 
-    /// Takes the labels of the targets that it holds.
+    /// Replaces the labels of the targets whose leases it holds.
     pub fn set_held_labels(&mut self, labels: HashSet<Name>) {
         self.load.labels = labels;
     }
 
-    /// Forgets what is believed of its targets.
-    pub(super) fn forget_load(&mut self) {
-        self.load.room.clear();
+    /// Removes the load of its targets.
+    pub(super) fn clear_load(&mut self) {
+        self.load.free_targets.clear();
         self.load.pools.clear();
     }
 
-    /// Returns what its targets have to do, with the age of the news in ms.
+    /// Returns the loads of its pools, each with its age in ms.
     pub(super) fn loads(&self, now: Millis) -> impl Iterator<Item = (&PoolLoad, Millis)> {
-        let age_ms = now.saturating_sub(self.load.heard);
+        let age_ms = now.saturating_sub(self.load.received_at);
         self.load.pools.iter().map(move |load| (load, age_ms))
     }
 
-    /// Returns whether a target of it is believed to have room for an order.
+    /// Returns whether one of its targets has, as far as known, free capacity for an order.
     pub(super) fn has_free_capacity(&self, order: &TaskOrder) -> bool {
-        self.load.room.iter().any(|room| room.fits(order))
+        let mut targets = self.load.free_targets.iter();
+        targets.any(|target| target.fits(order))
     }
 
-    /// Returns whether it is believed to have a target for an order on which nothing runs.
+    /// Returns whether one of its targets is, as far as known, idle and suits an order.
     pub(super) fn has_idle_target(&self, order: &TaskOrder) -> bool {
-        let mut room = self.load.room.iter();
-        room.any(|room| room.free == room.entry.capacity && room.fits(order))
+        let mut targets = self.load.free_targets.iter();
+        targets.any(|target| target.free == target.entry.capacity && target.fits(order))
     }
 
-    /// Returns whether it is believed to take a task with such needs, now or to wait.
+    /// Returns whether it would, as far as known, start or queue a task with these needs.
     pub(super) fn may_accept(&self, needed: &Resources) -> bool {
-        let mut room = self.load.room.iter();
+        let mut targets = self.load.free_targets.iter();
         let mut pools = self.load.pools.iter();
-        room.any(|room| room.free.fits(needed)) || pools.any(|pool| needed.cpu <= pool.queue_cpu)
+        targets.any(|target| target.free.fits(needed))
+            || pools.any(|pool| needed.cpu <= pool.queue_cpu)
     }
 
-    /// Returns where it could take a task, whose queue has this urgency.
-    pub(super) fn places(&self, now: Millis, order: &TaskOrder, urgency: u8) -> BelievedPlaces {
-        let mut places = BelievedPlaces {
+    /// Returns where it could start or queue a task whose queue has this urgency.
+    pub(super) fn places(&self, now: Millis, order: &TaskOrder, urgency: u8) -> KnownPlaces {
+        let mut places = KnownPlaces {
             near: Availability::None,
             far: Availability::None,
-            age_ms: now.saturating_sub(self.load.heard),
+            age_ms: now.saturating_sub(self.load.received_at),
         };
         let (mut near_cpu, mut far_cpu) = (0, 0);
-        let room = self.load.room.iter();
-        for room in room.filter(|room| room.fits(order)) {
-            if is_near(&room.entry.labels, order) {
-                near_cpu += room.free.cpu;
+        let targets = self.load.free_targets.iter();
+        for target in targets.filter(|target| target.fits(order)) {
+            if is_near(&target.entry.labels, order) {
+                near_cpu += target.free.cpu;
             } else {
-                far_cpu += room.free.cpu;
+                far_cpu += target.free.cpu;
             }
         }
         places.near = free_or_none(near_cpu);
@@ -122,7 +129,8 @@
         places
     }
 
-    /// Returns how a task is expected to wait there, if it may.
+    /// Returns the expected wait of a task in its pool's queue there; `None` if the task can't
+    /// be queued.
     fn expected_wait(&self, order: &TaskOrder, urgency: u8) -> Option<Availability> {
         let mut pools = self.load.pools.iter();
         let pool = pools.find(|load| load.pool == order.pool)?;
@@ -138,16 +146,17 @@
         })
     }
 
-    /// Takes a task that is handed to it off what is believed of its targets.
-    pub(super) fn deduct_handed(&mut self, order: &TaskOrder, urgency: u8) {
-        let room = self.load.room.iter_mut();
-        let fitting = room.filter(|room| room.fits(order));
-        let best = fitting.min_by_key(|room| {
-            let far = !is_near(&room.entry.labels, order);
-            (far, room.free.cpu)
+    /// Deducts a task that is handed to it from the known load: from the target on which it is
+    /// expected to start, otherwise from the queue of its pool.
+    pub(super) fn deduct_handed_task(&mut self, order: &TaskOrder, urgency: u8) {
+        let targets = self.load.free_targets.iter_mut();
+        let fitting = targets.filter(|target| target.fits(order));
+        let best = fitting.min_by_key(|target| {
+            let far = !is_near(&target.entry.labels, order);
+            (far, target.free.cpu)
         });
-        if let Some(room) = best {
-            room.free = room.free.minus(&order.resources);
+        if let Some(target) = best {
+            target.free = target.free.minus(&order.resources);
             return;
         }
         let mut pools = self.load.pools.iter_mut();
@@ -177,7 +186,7 @@
     }
 }
 
-/// Returns whether a target with these labels is near a task's data.
+/// Returns whether a target with these labels is in the rack of a task's data, if it has any.
 fn is_near(labels: &[Name], order: &TaskOrder) -> bool {
     let rack = order.rack.as_ref();
     rack.is_none_or(|rack| labels.contains(rack))
--- a/crates/dispatcher-core/src/peers/membership.rs
+++ b/crates/dispatcher-core/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! Which hosts are known, and what a peer that knows others is told; see
+//! Exchange of the known hosts with peers that know different ones; see
 //! [`crate::rules::membership`].
 
 use xxhash_rust::xxh3::xxh3_64;
@@ -12,24 +12,24 @@
 };
 use crate::Millis;
 
-/// What was told of the known hosts, and a hash of them.
+/// State of the exchange of the known hosts.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
-    /// A hash of all known hosts and their incarnations; none if they have changed since.
+    /// Cached hash of all known hosts and their incarnations; `None` after a change.
     hash: Option<u64>,
-    /// The whole list isn't told again before this time.
-    next_whole: Millis,
+    /// Before this time the full list is sent only to peers that know no other host.
+    next_full_list: Millis,
 }
 
 impl Membership {
-    /// Records that other hosts are known than before.
+    /// Invalidates the hash after a change of the known hosts.
     pub(super) fn hosts_changed(&mut self) {
         self.hash = None;
     }
 }
 
 impl Peers {
-    /// Returns a hash of all known hosts.
+    /// Returns a hash of all known hosts, this one among them, with their incarnations.
     pub fn hosts_hash(&mut self) -> u64 {
         if let Some(hash) = self.membership.hash {
             return hash;
@@ -43,7 +43,7 @@
         hash
     }
 
-    /// Returns all known hosts, this one among them, by name.
+    /// Returns all known hosts, this one among them, sorted by name.
     fn hosts(&self) -> Vec<HostInfo> {
         let others = self.peers.values().map(|peer| peer.info.clone());
         let mut hosts: Vec<HostInfo> = others.chain([self.own.clone()]).collect();
@@ -51,9 +51,10 @@
         hosts
     }
 
-    /// Returns the hosts that a peer is told whose heartbeat carries a hash.
+    /// Returns the hosts that the reply to a peer's heartbeat lists; none if the `hash` in the
+    /// heartbeat is this host's.
     ///
-    /// `knows_nobody` says that it found this host by the address of a seed.
+    /// `knows_nobody` is set if the peer found this host by the address of a seed.
     pub fn hosts_to_send(
         &mut self,
         now: Millis,
@@ -70,26 +71,25 @@
             return Vec::new();
         }
         let since = *peer.differs_since.get_or_insert(now);
-        let may_tell_whole = self.membership.next_whole <= now;
-        match hosts_to_send(now.saturating_sub(since), knows_nobody, may_tell_whole) {
+        let may_send_full = self.membership.next_full_list <= now;
+        match hosts_to_send(now.saturating_sub(since), knows_nobody, may_send_full) {
             HostsToSend::All => {
                 peer.differs_since = Some(now);
-                self.membership.next_whole = now + WHOLE_LIST_INTERVAL_MS;
+                self.membership.next_full_list = now + WHOLE_LIST_INTERVAL_MS;
                 self.hosts()
             }
             HostsToSend::LearntWithin(ms) => self.hosts_learnt_since(now.saturating_sub(ms), name),
         }
     }
 
-    /// Returns hosts that were heard of since a time, the newest, but not the one that is
-    /// told.
-    fn hosts_learnt_since(&self, since: Millis, told: &Name) -> Vec<HostInfo> {
+    /// Returns the most recently learnt hosts since a time, without the recipient.
+    fn hosts_learnt_since(&self, since: Millis, recipient: &Name) -> Vec<HostInfo> {
         let peers = self.peers.iter();
         let mut learnt: Vec<_> = peers
-            .filter(|(name, peer)| peer.learnt >= since && *name != told)
+            .filter(|(name, peer)| peer.learnt_at >= since && *name != recipient)
             .map(|(_, peer)| peer)
             .collect();
-        learnt.sort_by_key(|peer| std::cmp::Reverse(peer.learnt));
+        learnt.sort_by_key(|peer| std::cmp::Reverse(peer.learnt_at));
         learnt.truncate(MAX_LISTED_HOSTS);
         learnt.iter().map(|peer| peer.info.clone()).collect()
     }
--- a/crates/dispatcher-core/src/peers/mod.rs
+++ b/crates/dispatcher-core/src/peers/mod.rs
@@ -1,10 +1,10 @@
-//! The other hosts: who lives, what they have free, and the leases that depend on
-//! their heartbeats.
+//! State of the other hosts: liveness, free resources, load, and the owner leases that
+//! their heartbeats renew.
 //!
-//! [`Peers`] owns what this host knows of each of them. It learns of hosts from
-//! seeds, the store and other hosts, and forgets those that were silent for long.
-//! What it decides by stands in [`crate::rules`]: liveness, heartbeat intervals, and,
-//! for `choice`, peer choice. It relies on the dispatcher to send what is due.
+//! [`Peers`] holds one [`Peer`] per known host. It learns of hosts from seeds, the store
+//! and other hosts, and removes those that were silent for long. The rules that it applies
+//! are in [`crate::rules`]: liveness, heartbeat intervals, membership, peer and holder
+//! choice. The dispatcher has to send the messages that are due.
 
 mod choice;
 mod demand;
@@ -32,31 +32,32 @@
 use membership::Membership;
 pub use peer::{Peer, StopRequest};
 
-/// Between heartbeats to a peer that doesn't answer, and to seeds, in ms.
-const SILENT_HEARTBEAT_MS: Millis = 500;
-/// Hosts that weren't heard for this long are forgotten, in ms.
-const FORGET_MS: Millis = 60_000;
+/// Interval between heartbeats to seeds, and the shortest one to a silent peer, in ms.
+const SILENT_HEARTBEAT_INTERVAL_MS: Millis = 500;
+/// A host that was silent for this long is removed, in ms.
+const REMOVE_SILENT_AFTER_MS: Millis = 60_000;
 
-/// All other hosts.
+/// All other known hosts.
 pub struct Peers {
     own: HostInfo,
     times: Times,
-    /// Towards peers of the own hall, and of others.
+    /// Intervals towards peers of the own hall.
     near: HeartbeatIntervals,
+    /// Intervals towards peers of other halls.
     far: HeartbeatIntervals,
     membership: Membership,
-    /// The position of the peer to which the next demand is advertised first.
+    /// Position of the first peer to which the next demand is advertised.
     next_advertised: usize,
-    /// The halls that get no new tasks.
+    /// The halls that are draining: they get no new tasks.
     draining: HallSet,
     seeds: Vec<SocketAddr>,
-    /// When seeds are asked next.
-    next_seeds: Millis,
+    /// When the next heartbeats go to seeds.
+    next_seed_heartbeat: Millis,
     peers: BTreeMap<Name, Peer>,
 }
 
 impl Peers {
-    /// Knows no one but the seeds' addresses.
+    /// Creates the state of a host that knows only the addresses of seeds.
     #[must_use]
     pub fn new(own: HostInfo, seeds: &[SocketAddr], times: Times) -> Self {
         let mut peers = Self {
@@ -68,7 +69,7 @@
             membership: Membership::default(),
             next_advertised: 0,
             draining: HallSet::default(),
-            next_seeds: 0,
+            next_seed_heartbeat: 0,
             peers: BTreeMap::new(),
         };
         peers.set_seeds(seeds);
@@ -96,7 +97,8 @@
         self.peers.iter_mut()
     }
 
-    /// Updates what depends on which hosts are known.
+    /// Invalidates the hash of the known hosts and updates the heartbeat intervals, after the
+    /// known hosts or their incarnations changed.
     fn hosts_changed(&mut self) {
         self.membership.hosts_changed();
         let known = self.peers.len();
@@ -114,8 +116,9 @@
         }
     }
 
-    /// Returns how long the first heartbeat to a host waits, in ms: no time within a hall.
-    fn first_heartbeat(&self, info: &HostInfo) -> Millis {
+    /// Returns by how much the first heartbeat to a host is delayed, in ms; 0 within a hall or
+    /// among few hosts.
+    fn first_heartbeat_delay(&self, info: &HostInfo) -> Millis {
         if info.hall == self.own.hall || self.near == self.far {
             0
         } else {
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Returns the times towards a host.
+    /// Returns the heartbeat intervals towards a host.
     fn intervals_towards(&self, info: &HostInfo) -> HeartbeatIntervals {
         if info.hall == self.own.hall {
             self.near
@@ -132,89 +135,91 @@
         }
     }
 
-    /// Takes note of the halls that get no new tasks from now on.
+    /// Sets the halls that get no new tasks.
     pub fn set_draining(&mut self, halls: &HallSet) {
         self.draining = HallSet::clone(halls);
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds; this host's own address is left out.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         let others = seeds.iter().filter(|seed| **seed != self.own.address);
         self.seeds = others.copied().collect();
     }
 
-    /// Records a host; a higher incarnation replaces what was known.
+    /// Records a host; a higher incarnation replaces the known one.
     pub fn learn(&mut self, now: Millis, info: &HostInfo) {
         if info.name == self.own.name {
             return;
         }
         let intervals = self.intervals_towards(info);
-        let first_wait = self.first_heartbeat(info);
+        let first_delay_ms = self.first_heartbeat_delay(info);
         match self.peers.get_mut(&info.name) {
             None => {
-                let peer = Peer::new(now, first_wait, info.clone(), intervals);
+                let peer = Peer::new(now, first_delay_ms, info.clone(), intervals);
                 self.peers.insert(info.name.clone(), peer);
             }
             Some(peer) if info.incarnation > peer.info.incarnation => {
                 peer.info = info.clone();
                 peer.intervals = intervals;
-                peer.learnt = now;
+                peer.learnt_at = now;
                 peer.contact.refused = false;
-                peer.greet(now);
-                peer.begin_incarnation(info.incarnation);
+                peer.schedule_first_heartbeat(now);
+                peer.start_incarnation(info.incarnation);
             }
             Some(_) => return,
         }
         self.hosts_changed();
     }
 
-    /// Returns the hosts that live and stay, this one if `own_stays`.
+    /// Returns the hosts that may hold targets: neither dead nor stopping. This host is among
+    /// them if `include_own`.
     #[must_use]
-    pub fn eligible_holders(&self, now: Millis, own_stays: bool) -> Vec<HostInfo> {
+    pub fn eligible_holders(&self, now: Millis, include_own: bool) -> Vec<HostInfo> {
         let others = self.peers.values();
-        let others = others.filter(|peer| peer.stays(now));
+        let others = others.filter(|peer| peer.may_hold_targets(now));
         let others = others.map(|peer| peer.info.clone());
-        let own = own_stays.then(|| self.own.clone());
+        let own = include_own.then(|| self.own.clone());
         others.chain(own).collect()
     }
 
-    /// Returns the hosts that share the targets: those that live and stay, and those that
-    /// had no time to answer since this host heard of them; see
+    /// Returns the hosts among which the targets are divided: those that may hold targets, and
+    /// those that had no time to answer since this host learnt of them; see
     /// [`crate::rules::liveness::may_be_alive`].
     #[must_use]
-    pub fn hosts_sharing_targets(&self, now: Millis, own_stays: bool) -> Vec<HostInfo> {
-        let unheard = self.peers.values();
-        let unheard = unheard.filter(|peer| may_be_alive(now, peer.learnt, &peer.contact));
-        let unheard = unheard.map(|peer| peer.info.clone());
-        let staying = self.eligible_holders(now, own_stays);
-        staying.into_iter().chain(unheard).collect()
+    pub fn hosts_sharing_targets(&self, now: Millis, include_own: bool) -> Vec<HostInfo> {
+        let unconfirmed = self.peers.values();
+        let unconfirmed =
+            unconfirmed.filter(|peer| may_be_alive(now, peer.learnt_at, &peer.contact));
+        let unconfirmed = unconfirmed.map(|peer| peer.info.clone());
+        let eligible = self.eligible_holders(now, include_own);
+        eligible.into_iter().chain(unconfirmed).collect()
     }
 
-    /// Returns whether other hosts may be there and none was heard yet.
+    /// Returns whether there may be other hosts and none of them has replied yet.
     #[must_use]
     pub fn awaits_first_reply(&self) -> bool {
-        let mut heard = self.peers.values().map(|peer| &peer.contact);
-        let others = !self.peers.is_empty() || !self.seeds.is_empty();
-        others && heard.all(|heard| heard.acknowledged.is_none())
+        let mut contacts = self.peers.values().map(|peer| &peer.contact);
+        let may_have_peers = !self.peers.is_empty() || !self.seeds.is_empty();
+        may_have_peers && contacts.all(|contact| contact.acknowledged.is_none())
     }
 
-    /// Returns whether another host holds a target: one that lives, or one that this
-    /// host may only not hear.
+    /// Returns whether a peer holds a target's lease and keeps it: the peer isn't dead, or it
+    /// was silent only recently and this host is probably cut off.
     #[must_use]
     pub fn is_leased_elsewhere(&self, now: Millis, target: &Name) -> bool {
-        let heard = self.peers.values().map(|peer| &peer.contact);
-        // Peers of other halls are heard more rarely; whether this host is cut off has to
-        // show as soon as targets of silent peers of its own hall could be taken.
-        let minority = is_in_minority(now, &self.near, heard);
+        let contacts = self.peers.values().map(|peer| &peer.contact);
+        // The intervals of the own hall apply to all peers: that this host is cut off has to
+        // show before targets of silent peers of its own hall can be acquired.
+        let in_minority = is_in_minority(now, &self.near, contacts);
         let mut peers = self.peers.values();
         peers.any(|peer| {
-            let unheard = minority && peer.contact.was_recently_alive(now);
-            let keeps = peer.contact.retains_targets(now, &peer.intervals) || unheard;
+            let unreachable = in_minority && peer.contact.was_recently_alive(now);
+            let keeps = peer.contact.retains_targets(now, &peer.intervals) || unreachable;
             keeps && peer.has_leased(target)
         })
     }
 
-    /// Returns how many peers are taken to live.
+    /// Returns the number of peers that are alive as far as known.
     #[must_use]
     pub fn alive_count(&self, now: Millis) -> usize {
         let peers = self.peers.values();
@@ -222,8 +227,8 @@
         alive.count()
     }
 
-    /// Handles what every reply says; returns whether the peer's process is
-    /// another one than before.
+    /// Handles the fields that every reply has. Returns whether the reply comes from a newer
+    /// incarnation than the one whose clock was known.
     pub fn handle_reply(&mut self, now: Millis, name: &Name, reply: &Reply) -> bool {
         let Some(peer) = self.peers.get_mut(name) else {
             return false;
@@ -232,17 +237,17 @@
             return false;
         }
         let known = peer.echoed_clock;
-        let another = known.is_some_and(|known| known.incarnation != reply.incarnation);
+        let restarted = known.is_some_and(|known| known.incarnation != reply.incarnation);
         peer.handle_reply(now, reply);
         if reply.incarnation > peer.info.incarnation {
-            peer.begin_incarnation(reply.incarnation);
-            peer.learnt = now;
+            peer.start_incarnation(reply.incarnation);
+            peer.learnt_at = now;
             self.hosts_changed();
         }
-        another
+        restarted
     }
 
-    /// Handles what the reply to a heartbeat says.
+    /// Handles the reply to a heartbeat.
     pub fn handle_heartbeat_reply(&mut self, now: Millis, name: &Name, reply: &HeartbeatReply) {
         for host in &reply.hosts {
             self.learn(now, host);
@@ -252,11 +257,11 @@
         }
     }
 
-    /// Returns the peers to which a heartbeat is due.
+    /// Returns the peers to which a heartbeat is due, and schedules their next ones.
     pub fn heartbeats_due(&mut self, now: Millis) -> Vec<Name> {
         let mut due = Vec::new();
         for (name, peer) in &mut self.peers {
-            if peer.take_due_heartbeat(now, SILENT_HEARTBEAT_MS) {
+            if peer.take_due_heartbeat(now, SILENT_HEARTBEAT_INTERVAL_MS) {
                 due.push(name.clone());
             }
         }
@@ -274,23 +279,22 @@
         }
     }
 
-    /// Returns the seeds that are to be asked: those that no known host has as its
-    /// address.
+    /// Returns the seeds to which a heartbeat is due: those whose address no known host has.
     pub fn seeds_due(&mut self, now: Millis) -> Vec<SocketAddr> {
-        if self.next_seeds > now {
+        if self.next_seed_heartbeat > now {
             return Vec::new();
         }
-        self.next_seeds = now + SILENT_HEARTBEAT_MS;
+        self.next_seed_heartbeat = now + SILENT_HEARTBEAT_INTERVAL_MS;
         let known: HashSet<SocketAddr> = self.peers.values().map(|p| p.info.address).collect();
         let seeds = self.seeds.iter().filter(|seed| !known.contains(seed));
         seeds.copied().collect()
     }
 
-    /// Forgets hosts that weren't heard for long.
+    /// Removes hosts that were silent for long.
     pub fn remove_silent(&mut self, now: Millis) {
         let before = self.peers.len();
         self.peers
-            .retain(|_, peer| peer.contact.last_contact + FORGET_MS > now);
+            .retain(|_, peer| peer.contact.last_contact + REMOVE_SILENT_AFTER_MS > now);
         if self.peers.len() != before {
             self.hosts_changed();
         }
--- a/crates/dispatcher-core/src/peers/outbox.rs
+++ b/crates/dispatcher-core/src/peers/outbox.rs
@@ -1,19 +1,19 @@
-//! Messages to a peer that are sent until the peer has acknowledged them.
+//! Queue of items for a peer that are sent until the peer acknowledges them.
 
 use crate::event::CallId;
 
-/// What went out with one call.
+/// The items of a call in flight.
 #[derive(Debug)]
-struct Sent<T> {
+struct SentCall<T> {
     call: CallId,
     items: Vec<T>,
 }
 
-/// Items for a peer, some of them on their way; one call at a time.
+/// Items for a peer, with at most one call in flight.
 #[derive(Debug)]
 pub struct Outbox<T> {
     waiting: Vec<T>,
-    sent: Option<Sent<T>>,
+    sent: Option<SentCall<T>>,
 }
 
 impl<T> Default for Outbox<T> {
@@ -26,12 +26,12 @@
 }
 
 impl<T> Outbox<T> {
-    /// Adds an item.
+    /// Appends an item to those that wait to be sent.
     pub fn push(&mut self, item: T) {
         self.waiting.push(item);
     }
 
-    /// Adds items.
+    /// Appends items to those that wait to be sent.
     pub fn extend(&mut self, items: impl IntoIterator<Item = T>) {
         self.waiting.extend(items);
     }
@@ -42,33 +42,33 @@
         !self.waiting.is_empty()
     }
 
-    /// Returns whether items wait and no call is on its way.
+    /// Returns whether items wait and no call is in flight.
     #[must_use]
     pub fn may_send(&self) -> bool {
         self.has_waiting() && self.sent.is_none()
     }
 
-    /// Returns the item that has waited longest.
+    /// Returns the first of the waiting items.
     #[must_use]
     pub fn first(&self) -> Option<&T> {
         self.waiting.first()
     }
 
-    /// Takes the waiting items that `with` picks.
-    pub fn take_matching(&mut self, with: impl Fn(&T) -> bool) -> Vec<T> {
+    /// Removes and returns the waiting items for which `matches` holds.
+    pub fn take_matching(&mut self, matches: impl Fn(&T) -> bool) -> Vec<T> {
         let waiting = std::mem::take(&mut self.waiting);
-        let (taken, left) = waiting.into_iter().partition(with);
+        let (taken, left) = waiting.into_iter().partition(matches);
         self.waiting = left;
         taken
     }
 
-    /// Records that items went out with a call.
+    /// Records that items were sent with a call.
     pub fn record_sent(&mut self, call: CallId, items: Vec<T>) {
-        self.sent = Some(Sent { call, items });
+        self.sent = Some(SentCall { call, items });
     }
 
-    /// Records whether the peer has acknowledged a call; if not, its items wait
-    /// again. Returns false if they do.
+    /// Handles the outcome of a call: items that weren't acknowledged wait to be sent again.
+    /// Returns false if the call is the one in flight and wasn't acknowledged.
     pub fn handle_reply(&mut self, call: CallId, acknowledged: bool) -> bool {
         let Some(sent) = self.sent.take_if(|sent| sent.call == call) else {
             return true;
@@ -79,12 +79,12 @@
         acknowledged
     }
 
-    /// Drops the waiting items.
+    /// Removes the waiting items.
     pub fn clear_waiting(&mut self) {
         self.waiting.clear();
     }
 
-    /// Drops all items.
+    /// Removes all items; the outcome of a call in flight is then ignored.
     pub fn clear(&mut self) {
         self.waiting.clear();
         self.sent = None;
--- a/crates/dispatcher-core/src/peers/owner_lease.rs
+++ b/crates/dispatcher-core/src/peers/owner_lease.rs
@@ -1,22 +1,22 @@
-//! The lease under which a peer's attempts run on targets of this host.
-//!
-//! The peer's echo of this host's clock renews it; see [`crate::rules::leases`].
+//! Owner leases: see [`crate::rules::leases`].
 
 use crate::Millis;
 
-/// The lease under which a peer's attempts run on targets of this host.
+/// The lease under which a peer's attempts run on targets that this host holds.
+///
+/// The peer renews it by echoing this host's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnerLease {
-    /// The peer's session; attempts of earlier ones are stopped.
+    /// The peer's latest session; attempts of earlier ones are stopped.
     pub session: u64,
-    /// Until when it is valid, by the newest echo of this host's clock.
+    /// When it expires, by the newest echo of this host's clock.
     until: Millis,
-    /// Whether it has expired, and the attempts under it are being stopped.
+    /// Set when the expiry has been handled; the attempts under it are stopped then.
     expired: bool,
 }
 
 impl OwnerLease {
-    /// Creates a lease that has expired: the peer has sent nothing yet.
+    /// Creates an expired lease, for a peer that has sent nothing yet.
     pub(super) fn expired() -> Self {
         Self {
             session: 0,
@@ -25,19 +25,19 @@
         }
     }
 
-    /// Renews it.
+    /// Extends the lease to `until`; an earlier time doesn't shorten it.
     pub fn renew(&mut self, now: Millis, until: Millis) {
         self.until = self.until.max(until);
         self.expired &= until <= now;
     }
 
-    /// Returns whether it is valid.
+    /// Returns whether the lease hasn't expired, as of the last [`Self::expire_if_due`].
     #[must_use]
     pub fn is_valid(&self) -> bool {
         !self.expired
     }
 
-    /// Lets it expire when its time is over; returns whether it did so now.
+    /// Marks the lease as expired if its time has passed; returns whether it expired just now.
     pub fn expire_if_due(&mut self, now: Millis) -> bool {
         let expires = !self.expired && self.until <= now;
         self.expired |= expires;
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -1,5 +1,5 @@
-//! One other host, as this host knows it: what was heard of it, the leases between the
-//! two, and what is to be sent to it.
+//! Known state of one other host: its liveness and load, the leases between the two hosts,
+//! and the messages that wait to be sent to it.
 
 use std::collections::HashSet;
 
@@ -14,80 +14,81 @@
 use crate::targets::OwnerSession;
 use crate::Millis;
 
-use super::demand::HeardDemand;
-use super::load::BelievedLoad;
+use super::demand::ReceivedDemand;
+use super::load::KnownLoad;
 use super::outbox::Outbox;
 use super::owner_lease::OwnerLease;
-use super::schedule::Schedule;
+use super::schedule::HeartbeatSchedule;
 
-/// An attempt that a peer is to stop.
+/// An attempt that a peer has to stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopRequest {
-    /// The attempt.
+    /// The task and the attempt's number.
     pub id: AttemptId,
-    /// Whether this host wants to be told of its end.
+    /// Whether the peer has to report the attempt's end.
     pub report: bool,
 }
 
-/// What is known of one other host; times in ms of this host's clock.
+/// The known state of one other host; times in ms of this host's clock.
 #[derive(Debug)]
 pub struct Peer {
-    /// Its latest incarnation.
+    /// Identity and address of its latest known incarnation.
     pub info: HostInfo,
-    /// How often the two send each other heartbeats, and what follows from it.
+    /// Heartbeat intervals and the liveness timeouts that follow from them.
     pub intervals: HeartbeatIntervals,
-    /// When this incarnation was heard of.
-    pub(super) learnt: Millis,
-    /// Since when its heartbeats show that it knows other hosts than this one.
+    /// When this host learnt of the incarnation.
+    pub(super) learnt_at: Millis,
+    /// Since when the hash in its heartbeats has differed from this host's, or since the full
+    /// list of hosts was last sent to it.
     pub(super) differs_since: Option<Millis>,
-    /// What was heard of it, and when.
+    /// What was received from it, and when.
     pub contact: PeerContact,
-    /// Its clock as last heard, to be sent back.
+    /// Its clock as last received, to be echoed.
     pub echoed_clock: Option<EchoedClock>,
-    /// Whether it was taken to live when last looked at.
+    /// Whether it was alive at the last check.
     pub was_alive: bool,
-    /// The version of its configuration.
+    /// Version of its configuration.
     pub version: u64,
-    /// This host's session with it: attempts of earlier ones are given up.
+    /// This host's session with it, from 1; attempts of earlier sessions are given up.
     pub session: u64,
-    /// The lease of its attempts here.
+    /// The lease under which its attempts run here.
     pub owner_lease: OwnerLease,
-    /// Ends of its attempts, to be told.
+    /// Ends of its attempts, to be reported to it.
     pub ends: Outbox<AttemptEnd>,
-    /// Attempts to be stopped there.
+    /// Attempts of this host that it has to stop.
     pub stops: Outbox<StopRequest>,
-    /// Neither ends nor stops are sent again before this time.
+    /// Neither ends nor stops are sent before this time.
     pub retry_at: Millis,
-    /// When its free resources were heard.
+    /// When its free resources were last received.
     pub free_received_at: Millis,
-    /// Its free resources as last heard, less what was handed over since.
+    /// Its free resources as last received, less those of tasks handed over since.
     free: Vec<FreeResources>,
-    /// Whether it stops in order.
+    /// Whether it shuts down gracefully.
     leaving: bool,
     /// The targets whose leases it holds.
     leased: HashSet<Name>,
-    pub(super) demand: Option<HeardDemand>,
-    pub(super) load: BelievedLoad,
-    /// When it was last told of room here.
+    pub(super) demand: Option<ReceivedDemand>,
+    pub(super) load: KnownLoad,
+    /// When it was last informed, unasked, of free capacity here.
     pub load_sent_at: Millis,
-    /// How long the first heartbeat to an incarnation of it waits, in ms.
-    first_wait: Millis,
-    schedule: Schedule,
+    /// Delay of the first heartbeat to a new incarnation, in ms.
+    first_delay_ms: Millis,
+    schedule: HeartbeatSchedule,
 }
 
 impl Peer {
-    /// Knows nothing of a host but its identity; the first heartbeat to it waits for
-    /// `first_wait` ms.
+    /// Creates the state of a host of which only the identity is known; the first heartbeat to
+    /// it is delayed by `first_delay_ms`.
     pub(super) fn new(
         now: Millis,
-        first_wait: Millis,
+        first_delay_ms: Millis,
         info: HostInfo,
         intervals: HeartbeatIntervals,
     ) -> Self {
         Self {
             info,
             intervals,
-            learnt: now,
+            learnt_at: now,
             differs_since: None,
             contact: PeerContact {
                 last_contact: now,
@@ -106,41 +107,41 @@
             leaving: false,
             leased: HashSet::new(),
             demand: None,
-            load: BelievedLoad::default(),
+            load: KnownLoad::default(),
             load_sent_at: 0,
-            first_wait,
-            schedule: Schedule::due_at(now + first_wait),
+            first_delay_ms,
+            schedule: HeartbeatSchedule::due_at(now + first_delay_ms),
         }
     }
 
-    /// Returns whether it is taken to live.
+    /// Returns whether it is alive, as far as known.
     #[must_use]
     pub fn is_alive(&self, now: Millis) -> bool {
         self.contact.is_alive(now, &self.intervals)
     }
 
-    /// Returns whether tasks may be handed to it.
+    /// Returns whether tasks may be handed to it: it is alive and not stopping.
     #[must_use]
     pub fn accepts_tasks(&self, now: Millis) -> bool {
         self.contact.is_alive(now, &self.intervals) && !self.leaving
     }
 
-    /// Returns whether a task may be handed to it now, as far as its clock goes.
+    /// Returns whether its clock was received recently enough to hand it a task now.
     pub(super) fn has_fresh_clock(&self, now: Millis) -> bool {
         self.contact.has_fresh_clock(now, &self.intervals)
     }
 
-    /// Returns whether it may hold targets: it lives, or is slow, and stays.
-    pub(super) fn stays(&self, now: Millis) -> bool {
+    /// Returns whether it may hold targets: it is not dead and not stopping.
+    pub(super) fn may_hold_targets(&self, now: Millis) -> bool {
         !self.leaving && self.contact.retains_targets(now, &self.intervals)
     }
 
-    /// Returns whether it said that it holds a target's lease.
+    /// Returns whether it reported that it holds a target's lease.
     pub(super) fn has_leased(&self, target: &Name) -> bool {
         self.leased.contains(target)
     }
 
-    /// Returns its newest session with this host.
+    /// Returns its latest known session with this host.
     #[must_use]
     pub fn owner_session(&self) -> OwnerSession {
         OwnerSession {
@@ -149,26 +150,26 @@
         }
     }
 
-    /// Records that it was asked something.
+    /// Records that a request was sent to it.
     pub fn record_request(&mut self, now: Millis) {
         self.contact.unanswered_since.get_or_insert(now);
     }
 
-    /// Has the first heartbeat sent to a newer incarnation in time.
-    pub(super) fn greet(&mut self, now: Millis) {
-        self.schedule.make_due(now + self.first_wait);
+    /// Schedules the first heartbeat to a newer incarnation.
+    pub(super) fn schedule_first_heartbeat(&mut self, now: Millis) {
+        self.schedule.set_next(now + self.first_delay_ms);
     }
 
-    /// Handles a newer incarnation, whose sessions begin anew.
-    pub(super) fn begin_incarnation(&mut self, incarnation: u64) {
+    /// Resets the state that belongs to an incarnation; a new one counts its sessions anew.
+    pub(super) fn start_incarnation(&mut self, incarnation: u64) {
         self.info.incarnation = incarnation;
         self.owner_lease.session = 0;
         self.contact.unanswered_since = None;
         self.demand = None;
-        self.forget_load();
+        self.clear_load();
     }
 
-    /// Records its clock, as it was when it sent what just came.
+    /// Records its clock from a message; an older reading of the same incarnation is ignored.
     pub fn update_clock(&mut self, now: Millis, incarnation: u64, clock: Millis) {
         let older = self
             .echoed_clock
@@ -179,14 +180,14 @@
         }
     }
 
-    /// Returns when its clock was last heard, 0 if it never was: no attempt can be
-    /// there then.
+    /// Returns when its clock was last received; 0 if never, in which case no attempt of this
+    /// host can run there.
     #[must_use]
     pub fn clock_received_at(&self) -> Millis {
         self.contact.clock.unwrap_or(0)
     }
 
-    /// Handles what every reply says.
+    /// Handles the fields that every reply has.
     pub(super) fn handle_reply(&mut self, now: Millis, reply: &Reply) {
         self.update_clock(now, reply.incarnation, reply.clock);
         self.contact.last_contact = now;
@@ -200,9 +201,9 @@
     pub fn handle_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         self.leaving = heartbeat.leaving;
         self.version = heartbeat.version;
-        // One that never answered may have just started.
+        // A peer that never replied may have just started.
         if self.contact.acknowledged.is_none() {
-            self.schedule.no_later_than(now + self.first_wait);
+            self.schedule.require_by(now + self.first_delay_ms);
         }
     }
 
@@ -213,11 +214,12 @@
         self.leased = reply.leased.iter().cloned().collect();
     }
 
-    /// Records that attempts of this host may run there from now on.
+    /// Records that attempts of this host may run there from now on, and schedules heartbeats
+    /// accordingly.
     pub fn start_use(&mut self, now: Millis) {
         self.contact.in_use_since.get_or_insert(now);
         let latest = self.clock_received_at() + self.intervals.heartbeat;
-        self.schedule.no_later_than(latest);
+        self.schedule.require_by(latest);
     }
 
     /// Records that no attempt of this host runs there.
@@ -225,21 +227,22 @@
         self.contact.in_use_since = None;
     }
 
-    /// Gives all attempts there up: a new session begins.
+    /// Starts a new session: this host's attempts there are given up.
     pub fn start_session(&mut self) {
         self.session += 1;
         self.stops.clear();
         self.free.clear();
-        self.forget_load();
+        self.clear_load();
         self.end_use();
     }
 
-    /// Has a heartbeat sent to it at once.
+    /// Makes a heartbeat due at once.
     pub fn schedule_heartbeat_now(&mut self, now: Millis) {
-        self.schedule.make_due(now);
+        self.schedule.set_next(now);
     }
 
-    /// Returns whether a heartbeat is due, and plans the next one if it is.
+    /// Returns whether a heartbeat is due, and schedules the next one if it is. `silent_ms` is
+    /// the shortest interval to a peer that isn't alive.
     pub(super) fn take_due_heartbeat(&mut self, now: Millis, silent_ms: Millis) -> bool {
         let intervals = &self.intervals;
         let alive = self.contact.is_alive(now, intervals);
@@ -251,30 +254,29 @@
         self.schedule.take_due(now, interval)
     }
 
-    /// Postpones the next heartbeat, since the peer just answered something else.
-    /// Now and then one is due all the same: it tells more.
+    /// Postpones the next heartbeat because the peer just replied to another request.
     pub fn postpone_heartbeat(&mut self, now: Millis) {
         self.schedule.postpone(now, &self.intervals);
     }
 
-    /// Returns whether its clock is to be asked for: not if that was done within
-    /// `pause_ms`. Records that it is.
+    /// Returns whether its clock may be requested now, and records the request; false if it was
+    /// requested within `pause_ms`.
     pub fn try_request_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
         self.schedule.try_request_clock(now, pause_ms)
     }
 
-    /// Returns whether it is believed to have resources of any pool free.
+    /// Returns whether it has, as far as known, these resources free in any pool.
     pub(super) fn may_fit(&self, resources: &crate::spec::Resources) -> bool {
         let mut free = self.free.iter();
         free.any(|free| free.resources.fits(resources))
     }
 
-    /// Returns whether it is believed to have the resources for an order.
+    /// Returns whether it has, as far as known, the resources for an order.
     pub(super) fn has_resources(&self, order: &TaskOrder) -> bool {
         self.free.iter().any(|free| fits(free, order))
     }
 
-    /// Takes an order's resources off what it is believed to have free.
+    /// Deducts an order's resources from its known free resources.
     pub(super) fn deduct(&mut self, order: &TaskOrder) {
         let fitting = self.free.iter_mut().filter(|free| fits(free, order));
         if let Some(free) = fitting.min_by_key(|free| free.resources.cpu) {
@@ -282,7 +284,7 @@
         }
     }
 
-    /// Returns its free processor time, in thousandths of a core.
+    /// Returns its known free processor capacity, in thousandths of a core.
     pub(super) fn free_cpu(&self) -> u32 {
         self.free.iter().map(|free| free.resources.cpu).sum()
     }
--- a/crates/dispatcher-core/src/peers/schedule.rs
+++ b/crates/dispatcher-core/src/peers/schedule.rs
@@ -1,38 +1,38 @@
-//! When heartbeats go to a peer; see [`crate::rules::heartbeat_intervals`].
+//! Schedule of the heartbeats to a peer; see [`crate::rules::heartbeat_intervals`].
 
 use crate::rules::heartbeat_intervals::HeartbeatIntervals;
 use crate::Millis;
 
-/// When heartbeats go to a peer; times in ms of this host's clock.
+/// When heartbeats are sent to a peer; times in ms of this host's clock.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Schedule {
+pub(super) struct HeartbeatSchedule {
     next: Millis,
     last: Millis,
-    /// When one was last sent to hear the peer's clock, for tasks that wait.
-    clock_asked: Option<Millis>,
+    /// When the peer's clock was last requested, for tasks that wait to be handed over.
+    clock_requested_at: Option<Millis>,
 }
 
-impl Schedule {
+impl HeartbeatSchedule {
     /// Creates a schedule whose first heartbeat is due at `next`.
     pub(super) fn due_at(next: Millis) -> Self {
         Self {
             next,
             last: 0,
-            clock_asked: None,
+            clock_requested_at: None,
         }
     }
 
-    /// Has the next heartbeat sent by then.
-    pub(super) fn no_later_than(&mut self, latest: Millis) {
+    /// Moves the next heartbeat forward to `latest` if it is later.
+    pub(super) fn require_by(&mut self, latest: Millis) {
         self.next = self.next.min(latest);
     }
 
-    /// Has the next heartbeat sent at once.
-    pub(super) fn make_due(&mut self, now: Millis) {
-        self.next = now;
+    /// Sets the time of the next heartbeat.
+    pub(super) fn set_next(&mut self, at: Millis) {
+        self.next = at;
     }
 
-    /// Returns whether a heartbeat is due, and plans the next one if it is.
+    /// Returns whether a heartbeat is due, and schedules the next one if it is.
     pub(super) fn take_due(&mut self, now: Millis, interval: Millis) -> bool {
         let due = self.next <= now;
         if due {
@@ -42,21 +42,24 @@
         due
     }
 
-    /// Postpones the next heartbeat, since the peer just answered something else.
-    /// Now and then one is due all the same: it tells more.
+    /// Postpones the next heartbeat because the peer just replied to another request. The delay
+    /// since the last heartbeat is limited: its reply carries more than other replies.
     pub(super) fn postpone(&mut self, now: Millis, intervals: &HeartbeatIntervals) {
         let latest = self.last + intervals.idle.max(2 * intervals.heartbeat);
         let next = self.next.max(now + intervals.heartbeat);
         self.next = next.min(latest.max(self.next));
     }
 
-    /// Returns whether the peer's clock is to be asked for: not if that was done within
-    /// `pause_ms`. Records that it is.
+    /// Returns whether the peer's clock may be requested now, and records the request; false
+    /// if it was requested within `pause_ms`.
     pub(super) fn try_request_clock(&mut self, now: Millis, pause_ms: Millis) -> bool {
-        if self.clock_asked.is_some_and(|at| at + pause_ms > now) {
+        if self
+            .clock_requested_at
+            .is_some_and(|at| at + pause_ms > now)
+        {
             return false;
         }
-        self.clock_asked = Some(now);
+        self.clock_requested_at = Some(now);
         true
     }
 }
