--- a/crates/dispatcher-core/tests/arrival.rs
+++ b/crates/dispatcher-core/tests/arrival.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when its job arrives, and when a job that waits is given up.
+//! Forecast and refusal of a job on arrival, and the time at which a waiting job is given up.
 
 mod support;
 
@@ -13,7 +13,8 @@
 
 const FRESH_MS: Millis = 100;
 
-/// The load of one of two holders of 100 cores each; `waiting` are urgencies with core-ms.
+/// Returns the load of one of two holders of 100 cores each; `waiting` lists urgencies and
+/// core-ms.
 fn load(waiting: &[(u8, u64)]) -> PoolLoad {
     let work = |&(urgency, core_ms)| WaitingWork {
         urgency,
@@ -34,9 +35,9 @@
     KnownPoolLoad::new(loads, 200_000, FRESH_MS)
 }
 
-/// What is decided on a job of urgency 1 that takes 10 ms of a holder, has 100 ms to spare and
-/// is worth something for 600 ms.
-fn decided(pool: &KnownPoolLoad, id: &str, has_room: bool) -> Arrival {
+/// Decides on a job of urgency 1 that takes 10 ms of a holder, has 100 ms of slack and whose
+/// answer has a value for 600 ms.
+fn decide_job(pool: &KnownPoolLoad, id: &str, has_room: bool) -> Arrival {
     let job = ArrivingJob {
         id: &id.into(),
         urgency: 1,
@@ -49,91 +50,98 @@
     decide(pool, &job)
 }
 
-/// Names cases of what waits at one holder, and what is expected of a job.
-macro_rules! foresees {
+/// Declares tests: the work that waits at one holder, and the forecast of a job.
+macro_rules! forecasts {
     ($($name:ident: $waiting:expr => $forecast:ident, $wait_ms:expr;)+) => {
         $(case!($name, {
-            let arrival = decided(&pool(&[(load(&$waiting), 0)]), "a", false);
+            let arrival = decide_job(&pool(&[(load(&$waiting), 0)]), "a", false);
             assert_eq!((arrival.forecast, arrival.wait_ms), (Forecast::$forecast, $wait_ms));
         });)+
     };
 }
 
-foresees! {
-    nothing_waits: [] => OnTime, Some(10);
-    as_much_waits_as_the_job_can_wait: [(0, 4_000), (1, 5_000)] => OnTime, Some(100);
-    a_burst_of_less_urgent_work_takes_nothing_from_it: [(2, 1_000_000)] => OnTime, Some(10);
-    late_behind_all_that_waits_is_worth_something: [(1, 10_000), (2, 39_000)] => Late, Some(500);
-    late_would_take_room_from_others_on_time: [(1, 10_000), (2, 40_000)] => Refused, Some(110);
-    a_flood_of_its_own_queue: [(1, 200_000)] => Refused, Some(2_010);
+forecasts! {
+    no_waiting_work_is_on_time: [] => OnTime, Some(10);
+    waiting_work_equal_to_the_slack_is_on_time: [(0, 4_000), (1, 5_000)] => OnTime, Some(100);
+    less_urgent_work_does_not_delay_a_job: [(2, 1_000_000)] => OnTime, Some(10);
+    late_with_an_answer_of_value_is_accepted: [(1, 10_000), (2, 39_000)] => Late, Some(500);
+    late_with_too_much_waiting_work_is_refused: [(1, 10_000), (2, 40_000)] => Refused, Some(110);
+    a_flood_of_the_jobs_own_queue_is_refused: [(1, 200_000)] => Refused, Some(2_010);
 }
 
-case!(nothing_is_refused_while_a_target_has_room, {
+case!(no_job_is_refused_while_a_target_has_free_capacity, {
     let flood = pool(&[(load(&[(1, 200_000)]), 0)]);
-    assert_eq!(decided(&flood, "a", true).forecast, Forecast::OnTime);
+    assert_eq!(decide_job(&flood, "a", true).forecast, Forecast::OnTime);
 });
 
-case!(what_is_old_is_not_known, {
+case!(an_outdated_load_gives_no_forecast, {
     let flood = load(&[(1, 200_000)]);
     let old = pool(&[(flood.clone(), FRESH_MS + 1)]);
-    let arrival = decided(&old, "a", false);
+    let arrival = decide_job(&old, "a", false);
     assert_eq!(
         (arrival.forecast, arrival.wait_ms),
         (Forecast::Unknown, None)
     );
-    assert_eq!(decided(&pool(&[]), "a", false).forecast, Forecast::Unknown);
+    assert_eq!(
+        decide_job(&pool(&[]), "a", false).forecast,
+        Forecast::Unknown
+    );
     let fresh = pool(&[(flood, FRESH_MS)]);
-    assert_eq!(decided(&fresh, "a", false).forecast, Forecast::Refused);
+    assert_eq!(decide_job(&fresh, "a", false).forecast, Forecast::Refused);
 });
 
-case!(too_few_holders_heard_are_not_known, {
+case!(loads_of_too_few_holders_give_no_forecast, {
     let small = PoolLoad {
         capacity_cpu: 99_999,
         ..load(&[(1, 200_000)])
     };
     assert_eq!(
-        decided(&pool(&[(small, 0)]), "a", false).forecast,
+        decide_job(&pool(&[(small, 0)]), "a", false).forecast,
         Forecast::Unknown
     );
 });
 
-case!(what_waited_may_have_been_done_since, {
+case!(the_expected_wait_shrinks_with_the_age_of_the_load, {
     let waiting = load(&[(0, 5_000), (1, 10_000)]);
-    let wait_ms = |age_ms| decided(&pool(&[(waiting.clone(), age_ms)]), "a", false).wait_ms;
+    let wait_ms = |age_ms| decide_job(&pool(&[(waiting.clone(), age_ms)]), "a", false).wait_ms;
     assert_eq!(wait_ms(0), Some(160));
     assert_eq!(wait_ms(70), Some(90));
 });
 
-case!(an_empty_holder_shortens_the_wait, {
+case!(a_holder_without_waiting_work_shortens_the_wait, {
     let loads = [(load(&[(1, 15_000)]), 0), (load(&[]), 0)];
-    assert_eq!(decided(&pool(&loads), "a", false).wait_ms, Some(80));
+    assert_eq!(decide_job(&pool(&loads), "a", false).wait_ms, Some(80));
 });
 
-case!(refused_callers_come_back_spread_when_there_is_room, {
-    // The queue is short enough for the job in 710 ms.
-    let flood = pool(&[(load(&[(1, 80_000)]), 0)]);
-    let times = (0..200).map(|id| {
-        decided(&flood, &id.to_string(), false)
-            .retry_after_ms
-            .unwrap()
-    });
-    let mut times: Vec<Millis> = times.collect();
-    times.sort_unstable();
-    assert!(times[0] >= 710 && times[199] < 1_420, "{times:?}");
-    assert!(
-        times[199] - times[0] > 639,
-        "over nine tenths of it: {times:?}"
-    );
-    let gaps = times.windows(2).map(|pair| pair[1] - pair[0]);
-    assert!(gaps.max() < Some(71), "{times:?}");
-});
+case!(
+    retry_times_of_refused_callers_are_spread_after_the_queue_has_drained,
+    {
+        // The queue is short enough for the job after 710 ms.
+        let flood = pool(&[(load(&[(1, 80_000)]), 0)]);
+        let times = (0..200).map(|id| {
+            decide_job(&flood, &id.to_string(), false)
+                .retry_after_ms
+                .unwrap()
+        });
+        let mut times: Vec<Millis> = times.collect();
+        times.sort_unstable();
+        assert!(times[0] >= 710 && times[199] < 1_420, "{times:?}");
+        assert!(
+            times[199] - times[0] > 639,
+            "spread over nine tenths of that time: {times:?}"
+        );
+        let gaps = times.windows(2).map(|pair| pair[1] - pair[0]);
+        assert!(gaps.max() < Some(71), "{times:?}");
+    }
+);
 
-/// A job that was accepted at 0, is worth something until 600 and has waited until `now`.
-fn given_up(now: Millis, passed_over: bool, has_room: bool) -> Option<EndCause> {
-    given_up_before(1_500, now, passed_over, has_room)
+/// Returns why a job is given up that was accepted at 0, has waited until `now` and whose
+/// answer has a value until 600.
+fn end_cause(now: Millis, passed_over: bool, has_room: bool) -> Option<EndCause> {
+    end_cause_with_deadline(1_500, now, passed_over, has_room)
 }
 
-fn given_up_before(
+fn end_cause_with_deadline(
     deadline: Millis,
     now: Millis,
     passed_over: bool,
@@ -152,33 +160,33 @@
     end_cause(now, &job, [100].into_iter())
 }
 
-case!(no_want_of_room_is_told_while_room_is_known, {
-    assert_eq!(given_up(150, true, false), Some(EndCause::PassedOver));
-    assert_eq!(given_up(150, true, true), None);
-    assert_eq!(given_up(300, false, false), Some(EndCause::NoResources));
-    assert_eq!(given_up(300, false, true), None);
-    assert_eq!(given_up(501, false, true), Some(EndCause::Deadline));
+case!(lack_of_capacity_is_no_cause_while_free_capacity_is_known, {
+    assert_eq!(end_cause(150, true, false), Some(EndCause::PassedOver));
+    assert_eq!(end_cause(150, true, true), None);
+    assert_eq!(end_cause(300, false, false), Some(EndCause::NoResources));
+    assert_eq!(end_cause(300, false, true), None);
+    assert_eq!(end_cause(501, false, true), Some(EndCause::Deadline));
+});
+
+case!(a_job_that_cannot_end_by_its_deadline_is_given_up, {
+    assert_eq!(end_cause_with_deadline(300, 249, false, true), None);
+    let ended = end_cause_with_deadline(300, 250, false, true);
+    assert_eq!(ended, Some(EndCause::Deadline));
 });
 
 case!(
-    callers_that_wait_for_less_than_an_answer_is_worth_are_answered,
+    a_job_is_passed_over_only_for_its_own_or_more_urgent_queues,
     {
-        assert_eq!(given_up_before(300, 249, false, true), None);
-        let ended = given_up_before(300, 250, false, true);
-        assert_eq!(ended, Some(EndCause::Deadline));
+        let passed_over = |order, on_time| is_passed_over(order, 1, on_time);
+        assert!(passed_over(WaitingOrder::Shares, Some(0)));
+        assert!(passed_over(WaitingOrder::Shares, Some(1)));
+        assert!(!passed_over(WaitingOrder::Shares, Some(2)));
+        assert!(!passed_over(WaitingOrder::Shares, None));
+        assert!(passed_over(WaitingOrder::Class, Some(2)));
     }
 );
 
-case!(a_job_is_passed_over_by_its_own_and_more_urgent_queues, {
-    let passed_over = |order, on_time| is_passed_over(order, 1, on_time);
-    assert!(passed_over(WaitingOrder::Shares, Some(0)));
-    assert!(passed_over(WaitingOrder::Shares, Some(1)));
-    assert!(!passed_over(WaitingOrder::Shares, Some(2)));
-    assert!(!passed_over(WaitingOrder::Shares, None));
-    assert!(passed_over(WaitingOrder::Class, Some(2)));
-});
-
-/// A host with a target that is full of a long task, with an order.
+/// Creates a host whose only target is occupied by a long task.
 fn full_host(order: WaitingOrder) -> Rig {
     let settings = Settings {
         scheduling: Scheduling {
@@ -192,7 +200,7 @@
     rig
 }
 
-case!(a_job_is_taken_while_nothing_is_known_of_its_pool, {
+case!(a_job_is_accepted_while_the_load_of_its_pool_is_unknown, {
     let mut rig = full_host(WaitingOrder::Shares);
     rig.submit(2, "5c0e7a21d94b36f9", vec![step(1, 7_000, 60)], 1_500);
     assert_eq!(rig.answer_to(2), None);
@@ -200,7 +208,7 @@
     assert!(matches!(rig.answer_to(2), Some(Answer::Refused { .. })));
 });
 
-/// Whether an urgent job was refused 150 ms after it came to a full host, where it will be late
+/// Returns whether an urgent job is refused within 150 ms at a full host, where it will be late
 /// and a long job of a less urgent queue can be on time.
 fn urgent_is_passed_over(order: WaitingOrder) -> bool {
     let mut rig = full_host(order);
@@ -218,7 +226,10 @@
     rig.answer_to(2).is_some()
 }
 
-case!(less_urgent_jobs_pass_over_no_urgent_one, {
-    assert!(urgent_is_passed_over(WaitingOrder::Class));
-    assert!(!urgent_is_passed_over(WaitingOrder::Shares));
-});
+case!(
+    an_urgent_job_is_not_refused_in_favour_of_a_less_urgent_one,
+    {
+        assert!(urgent_is_passed_over(WaitingOrder::Class));
+        assert!(!urgent_is_passed_over(WaitingOrder::Shares));
+    }
+);
--- a/crates/dispatcher-core/tests/bounds.rs
+++ b/crates/dispatcher-core/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Times that follow from a deployment's bounds.
+//! Lease and heartbeat times derived from a deployment's bounds.
 
 use gannetridge_dispatcher_core::rules::leases::longest_on_true_clock;
 use gannetridge_dispatcher_core::{Bounds, BoundsError};
@@ -13,34 +13,34 @@
     }
 }
 
-/// Declares tests, each a name and the bounds of a deployment.
-macro_rules! times_hold {
+/// Declares a test for each deployment's bounds.
+macro_rules! times_are_safe {
     ($($name:ident: $bounds:expr;)+) => {
         $(#[test]
         fn $name() {
             let bounds = $bounds;
             let times = bounds.times().unwrap();
-            // An attempt whose owner is gone is over before its caller comes again.
-            let over = times.owner_lease + longest_on_true_clock(times.target_lease) + bounds.stop_grace_ms;
-            assert!(over < bounds.retransmit_ms, "{times:?}");
-            assert_eq!(over, times.lost_attempts_over);
+            // Attempts of a lost owner have ended before the caller sends the job again.
+            let ended_after = times.owner_lease + longest_on_true_clock(times.target_lease) + bounds.stop_grace_ms;
+            assert!(ended_after < bounds.retransmit_ms, "{times:?}");
+            assert_eq!(ended_after, times.lost_attempts_over);
             assert!(times.target_lease <= bounds.max_target_lease_ms);
-            // Neither a lost heartbeat nor a late renewal ends an attempt.
+            // A lost heartbeat or a late renewal doesn't end an attempt.
             assert!(3 * times.heartbeat < times.owner_lease, "{times:?}");
             assert!(2 * times.long_poll < times.target_lease, "{times:?}");
         })+
     };
 }
 
-times_hold! {
+times_are_safe! {
     the_users_bounds: bounds(1_300, 1_000, 50);
-    short_leases: bounds(1_300, 200, 50);
-    callers_in_a_hurry: bounds(600, 1_000, 20);
-    patient_callers: bounds(10_000, 2_000, 500);
+    a_low_maximum_target_lease: bounds(1_300, 200, 50);
+    a_short_retransmit_time: bounds(600, 1_000, 20);
+    a_long_retransmit_time: bounds(10_000, 2_000, 500);
 }
 
 #[test]
-fn callers_that_come_too_soon_are_refused_at_the_start() {
-    let refused = bounds(300, 1_000, 50).times();
-    assert!(matches!(refused, Err(BoundsError::TooTight { .. })));
+fn a_retransmit_time_too_short_for_the_leases_is_rejected() {
+    let times = bounds(300, 1_000, 50).times();
+    assert!(matches!(times, Err(BoundsError::TooTight { .. })));
 }
--- a/crates/dispatcher-core/tests/many_peers.rs
+++ b/crates/dispatcher-core/tests/many_peers.rs
@@ -1,4 +1,4 @@
-//! What a host spends on its peers where there are many.
+//! Cost and freshness of the messages to peers in a large deployment.
 
 mod support;
 
@@ -16,8 +16,8 @@
     matches!(request, Request::Place(_))
 }
 
-/// A host that knows so many peers.
-fn among(peers: u16) -> Rig {
+/// Creates a host that knows this many peers.
+fn with_peers(peers: u16) -> Rig {
     let mut rig = Rig::new();
     let hosts = (0..peers).map(|number| {
         let mut info = peer_info();
@@ -29,7 +29,7 @@
     rig
 }
 
-/// Lets time pass, answers all heartbeats and counts them.
+/// Advances the time, answers all heartbeats and returns their number.
 fn heartbeats_in(rig: &mut Rig, ms: Millis, free_cpu: u32) -> usize {
     let mut count = 0;
     let end = rig.now + ms;
@@ -45,14 +45,17 @@
     count
 }
 
-case!(idle_heartbeats_do_not_grow_with_the_hosts, {
-    let few = heartbeats_in(&mut among(8), 20_000, 0);
-    let many = heartbeats_in(&mut among(48), 20_000, 0);
-    assert!(many <= few * 11 / 10, "{many} over {few}");
-});
+case!(
+    the_rate_of_idle_heartbeats_does_not_grow_with_the_number_of_hosts,
+    {
+        let few = heartbeats_in(&mut with_peers(8), 20_000, 0);
+        let many = heartbeats_in(&mut with_peers(48), 20_000, 0);
+        assert!(many <= few * 11 / 10, "{many} over {few}");
+    }
+);
 
-case!(peers_of_many_are_taken_to_live_all_the_same, {
-    let mut rig = among(48);
+case!(peers_stay_alive_between_rare_heartbeats, {
+    let mut rig = with_peers(48);
     heartbeats_in(&mut rig, 5_000, 0);
     for _ in 0..100 {
         heartbeats_in(&mut rig, 50, 0);
@@ -60,33 +63,33 @@
     }
 });
 
-case!(silent_peers_of_many_are_noticed, {
-    let mut rig = among(48);
+case!(silent_peers_are_detected_among_many, {
+    let mut rig = with_peers(48);
     heartbeats_in(&mut rig, 5_000, 0);
     rig.pass(2_200);
     assert_eq!(rig.host.counts(rig.now).peers_alive, 0);
 });
 
-case!(a_demand_is_advertised_to_some_of_many_and_to_others_next, {
-    let mut rig = among(48);
+case!(advertisements_of_a_demand_rotate_over_the_peers, {
+    let mut rig = with_peers(48);
     heartbeats_in(&mut rig, 5_000, 0);
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
-    let mut told = Vec::new();
+    let mut recipients = Vec::new();
     for _ in 0..2 {
         let demands = rig.requests(|request| matches!(request, Request::Demand(Some(_))));
         assert_eq!(demands.len(), 8);
-        told.extend(demands.into_iter().map(|(call, _)| rig.addresses[&call]));
+        recipients.extend(demands.into_iter().map(|(call, _)| rig.addresses[&call]));
         rig.pass(100);
     }
-    told.sort();
-    told.dedup();
-    assert_eq!(told.len(), 16);
+    recipients.sort();
+    recipients.dedup();
+    assert_eq!(recipients.len(), 16);
 });
 
-case!(a_peers_clock_is_heard_before_it_gets_tasks, {
-    let mut rig = among(48);
+case!(a_peers_clock_is_requested_before_tasks_are_handed_to_it, {
+    let mut rig = with_peers(48);
     heartbeats_in(&mut rig, 5_000, 16_000);
-    // Nothing was heard of anyone for longer than half an owner lease.
+    // Nothing was received from any peer for longer than half an owner lease.
     rig.pass(300);
     rig.requests(|_| true);
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
@@ -99,32 +102,39 @@
         1
     );
     rig.answer_heartbeats(16_000);
-    assert_eq!(rig.requests(is_place).len(), 1, "then it gets them at once");
+    assert_eq!(
+        rig.requests(is_place).len(),
+        1,
+        "the task is handed over at once"
+    );
 });
 
 case!(heartbeats_renew_the_owner_lease_where_tasks_run, {
-    let mut rig = among(48);
+    let mut rig = with_peers(48);
     heartbeats_in(&mut rig, 5_000, 16_000);
     rig.submit(1, ID, vec![step(1, 7_000, 2_000)], 6_000);
     rig.answer_heartbeats(16_000);
     let (call, envelope) = rig.requests(is_place).remove(0);
-    let targets = rig.addresses[&call];
+    let holder = rig.addresses[&call];
     let reply = Ok(rig.reply(ReplyBody::Placed(vec![0]), 0));
     rig.event(Event::PeerReply { call, reply });
-    let mut newest = envelope.echoed_clock.expect("its clock was heard").clock;
+    let mut newest = envelope
+        .echoed_clock
+        .expect("the peer's clock is known")
+        .clock;
     let owner_lease = support::BOUNDS.times().unwrap().owner_lease;
     for _ in 0..150 {
         rig.pass(10);
         let requests = rig.requests.iter();
-        let there = requests.filter(|(call, _)| rig.addresses[call] == targets);
-        let clocks = there.filter_map(|(_, e)| e.echoed_clock);
+        let to_holder = requests.filter(|(call, _)| rig.addresses[call] == holder);
+        let clocks = to_holder.filter_map(|(_, e)| e.echoed_clock);
         newest = clocks
             .map(|echoed_clock| echoed_clock.clock)
             .max()
             .unwrap_or(0)
             .max(newest);
         rig.answer_heartbeats(0);
-        // The peer's clock is ahead by 90 s; see the rig's replies.
+        // The peer's clock is 90 s ahead; see `Rig::reply`.
         let age = rig.now + 90_000 - newest;
         assert!(
             age < owner_lease,
@@ -133,16 +143,16 @@
     }
 });
 
-case!(one_request_carries_all_that_fits_at_a_peer, {
-    let mut rig = among(48);
+case!(one_request_carries_all_tasks_that_fit_at_a_peer, {
+    let mut rig = with_peers(48);
     heartbeats_in(&mut rig, 5_000, 64_000);
     rig.submit(1, ID, vec![step(8, 7_000, 300)], 3_000);
-    // Those whose clock wasn't heard of late are asked for it first.
+    // A peer whose clock isn't fresh is asked for it first.
     rig.answer_heartbeats(64_000);
     let places = rig.requests(is_place);
     assert_eq!(places.len(), 1);
     let Request::Place(orders) = &places[0].1.request else {
-        panic!("it places");
+        panic!("expected a request to place tasks");
     };
     assert_eq!(orders.len(), 8);
 });
--- a/crates/dispatcher-core/tests/membership.rs
+++ b/crates/dispatcher-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What a host that stops and starts again costs the others, among hundreds of them.
+//! Cost of membership updates when hosts restart in a large deployment.
 
 mod support;
 
@@ -10,19 +10,22 @@
 use support::{case, queues, BOUNDS};
 
 const HALLS: usize = 5;
-/// From one restart to the next, in ms.
-const RESTART_MS: Millis = 250;
+/// Interval between restarts, in ms.
+const RESTART_INTERVAL_MS: Millis = 250;
 const STEP_MS: Millis = 100;
 
-/// Hosts that hear each other at once.
+/// A network of hosts without delay.
 struct Network {
     now: Millis,
     hosts: Vec<Dispatcher>,
-    calls: VecDeque<(usize, Action)>,
-    asked: HashMap<RequestId, (usize, CallId)>,
+    /// Actions to be carried out, each with the host from which it comes.
+    actions: VecDeque<(usize, Action)>,
+    /// The host and call that wait for the reply to a request.
+    calls: HashMap<RequestId, (usize, CallId)>,
     last_request: u64,
-    /// What the lists of hosts in replies came to.
+    /// Number of the replies that list hosts.
     lists: usize,
+    /// Encoded size of these lists, in bytes.
     list_bytes: usize,
 }
 
@@ -48,40 +51,40 @@
         let mut network = Self {
             now: 1,
             hosts: hosts.collect(),
-            calls: VecDeque::new(),
-            asked: HashMap::new(),
+            actions: VecDeque::new(),
+            calls: HashMap::new(),
             last_request: 0,
             lists: 0,
             list_bytes: 0,
         };
         let known: Vec<HostInfo> = network.hosts.iter().map(|h| h.info().clone()).collect();
         for index in 0..count {
-            network.give(index, Event::ConfigurationRead(queues(1)));
-            network.give(index, Event::HostsRead(known.clone()));
+            network.deliver(index, Event::ConfigurationRead(queues(1)));
+            network.deliver(index, Event::HostsRead(known.clone()));
         }
         network
     }
 
-    fn give(&mut self, host: usize, event: Event) {
+    fn deliver(&mut self, host: usize, event: Event) {
         let actions = self.hosts[host].handle(self.now, event);
-        let sent = actions.into_iter().map(|action| (host, action));
-        self.calls.extend(sent);
+        let actions = actions.into_iter().map(|action| (host, action));
+        self.actions.extend(actions);
     }
 
-    fn pass(&mut self, ms: Millis) {
+    fn advance(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.now += STEP_MS;
             for host in 0..self.hosts.len() {
-                self.give(host, Event::Tick);
+                self.deliver(host, Event::Tick);
             }
-            while let Some((from, action)) = self.calls.pop_front() {
-                self.carry(from, action);
+            while let Some((from, action)) = self.actions.pop_front() {
+                self.carry_out(from, action);
             }
         }
     }
 
-    fn carry(&mut self, from: usize, action: Action) {
+    fn carry_out(&mut self, from: usize, action: Action) {
         match action {
             Action::Call {
                 call,
@@ -92,26 +95,26 @@
                 let to = usize::from(address.port()) - 1;
                 self.last_request += 1;
                 let request_id = RequestId(self.last_request);
-                self.asked.insert(request_id, (from, call));
+                self.calls.insert(request_id, (from, call));
                 let event = Event::Peer {
                     request_id,
                     envelope,
                 };
-                self.give(to, event);
+                self.deliver(to, event);
             }
             Action::Reply { request_id, reply } => {
-                self.count(&reply);
-                // One that asked before its restart takes no reply.
-                if let Some((host, call)) = self.asked.remove(&request_id) {
+                self.count_list(&reply);
+                // Requests from before a restart are unknown here; their replies are dropped.
+                if let Some((host, call)) = self.calls.remove(&request_id) {
                     let reply = Ok(reply);
-                    self.give(host, Event::PeerReply { call, reply });
+                    self.deliver(host, Event::PeerReply { call, reply });
                 }
             }
             _ => {}
         }
     }
 
-    fn count(&mut self, reply: &Reply) {
+    fn count_list(&mut self, reply: &Reply) {
         if let ReplyBody::Heartbeat(heartbeat) = &reply.body {
             if !heartbeat.hosts.is_empty() {
                 self.lists += 1;
@@ -120,15 +123,15 @@
         }
     }
 
-    /// Restarts a host; the store isn't there to tell it of others.
+    /// Restarts a host, which learns of the others from its seed, not from the store.
     fn restart(&mut self, host: usize) {
-        self.asked.retain(|_, (from, _)| *from != host);
+        self.calls.retain(|_, (from, _)| *from != host);
         self.hosts[host] = Dispatcher::new(settings(host, self.now)).unwrap();
-        self.give(host, Event::ConfigurationRead(queues(1)));
+        self.deliver(host, Event::ConfigurationRead(queues(1)));
     }
 
-    /// Returns how many hosts know every other one as it is.
-    fn up_to_date(&self) -> usize {
+    /// Returns how many hosts know all others as alive.
+    fn hosts_with_all_peers_alive(&self) -> usize {
         let all = self.hosts.len() - 1;
         let hosts = self.hosts.iter();
         let now = self.now;
@@ -138,34 +141,37 @@
     }
 }
 
-/// Restarts some hosts in turn; returns the bytes of lists for each restart and host.
-fn bytes_of_a_restart(count: usize, restarts: usize) -> usize {
+/// Restarts some hosts in turn; returns the bytes of host lists per restart and host.
+fn list_bytes_per_restart(count: usize, restarts: usize) -> usize {
     let mut network = Network::start(count);
-    network.pass(8_200);
+    network.advance(8_200);
     (network.lists, network.list_bytes) = (0, 0);
     for host in 0..restarts {
         network.restart(1 + host);
-        network.pass(RESTART_MS);
+        network.advance(RESTART_INTERVAL_MS);
     }
-    network.pass(5_000);
-    assert_eq!(network.up_to_date(), count, "all know all again");
+    network.advance(5_000);
+    assert_eq!(
+        network.hosts_with_all_peers_alive(),
+        count,
+        "all hosts know all others again"
+    );
     network.list_bytes / restarts / count
 }
 
-// Measured here, in bytes for each other host and restart, four restarts a second: 1,669
-// among 150 hosts and 3,415 among 300 with whole lists wherever hashes differ, 476 and 765
-// with what was heard of lately.
+// Guards against sending the full list of hosts wherever hashes differ, which exceeds the
+// bound.
 case!(
     a_restart_costs_each_of_150_hosts_a_bounded_number_of_bytes,
     {
-        let bytes = bytes_of_a_restart(150, 4);
+        let bytes = list_bytes_per_restart(150, 4);
         println!("{bytes} bytes");
         assert!(bytes < 1_000, "{bytes}");
     }
 );
 
 case!(a_restart_costs_each_of_300_hosts_no_more, {
-    let bytes = bytes_of_a_restart(300, 4);
+    let bytes = list_bytes_per_restart(300, 4);
     println!("{bytes} bytes");
     assert!(bytes < 1_000, "{bytes}");
 });
--- a/crates/dispatcher-core/tests/support/holders.rs
+++ b/crates/dispatcher-core/tests/support/holders.rs
@@ -1,4 +1,5 @@
-//! Three halls of hosts, each with callers and targets, that hear each other rarely.
+//! Simulation of holder choice: three halls of hosts, each with callers and targets, that
+//! receive each other's load at long intervals.
 
 use gannetridge_dispatcher_core::rules::holder_choice::{
     choose_holder, Availability, HolderView, TaskView,
@@ -7,24 +8,24 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Tasks that run at a time at each holder of a hall; position modulo 4 is its targets' rack.
+/// Slots for tasks at each holder of a hall; the position modulo 4 is its targets' rack.
 const SLOTS: [i64; 11] = [20, 20, 3, 3, 3, 3, 3, 3, 3, 3, 3];
-const HALL: usize = SLOTS.len();
-const HOSTS: usize = 3 * HALL;
+const HOSTS_PER_HALL: usize = SLOTS.len();
+const HOSTS: usize = 3 * HOSTS_PER_HALL;
 pub const RUNNING_MS: Millis = 60;
 const FAR_SLOWDOWN: f64 = 1.5;
 
-/// Changes what an owner knows, to weigh another way of choosing against the rule.
+/// Changes the views on which an owner decides, to compare the rule with alternatives.
 pub type AdjustViews = fn(&TaskView, &mut [HolderView]);
 
 pub struct Load {
-    /// What a hall's callers ask for, as a part of what its targets can do, at a time in ms.
+    /// Offered load of a hall's callers, as a share of its targets' capacity, at a time in ms.
     pub demand: fn(hall: usize, now: Millis) -> f64,
-    /// How often an owner hears a holder, in ms.
+    /// Interval at which an owner receives a holder's load, in ms.
     pub update_ms: Millis,
-    /// The part of the tasks whose data lie in rack 1; the others have none.
+    /// The share of tasks whose data is in rack 1; the others have none.
     pub hot: f64,
-    /// From when hall 0 is cut off.
+    /// When hall 0 is cut off, in ms.
     pub cut_at: Millis,
 }
 
@@ -34,73 +35,81 @@
     pub may_wait_ms: Millis,
     pub is_hot: bool,
     holder: Option<usize>,
-    begun_at: Option<Millis>,
+    started_at: Option<Millis>,
 }
 
 impl Task {
     pub fn hall(&self) -> usize {
-        self.owner / HALL
+        self.owner / HOSTS_PER_HALL
     }
 
     pub fn is_far(&self) -> bool {
-        self.is_hot && self.holder.is_some_and(|at| at % HALL % 4 != 1)
+        self.is_hot && self.holder.is_some_and(|at| at % HOSTS_PER_HALL % 4 != 1)
     }
 
     pub fn is_in_other_hall(&self) -> bool {
-        self.holder.is_some_and(|at| at / HALL != self.hall())
+        self.holder
+            .is_some_and(|at| at / HOSTS_PER_HALL != self.hall())
     }
 
-    /// Returns whether it waited longer than it runs, or never began.
+    /// Returns whether it waited longer than [`RUNNING_MS`], or never started.
     pub fn is_late(&self) -> bool {
-        let begun = self.begun_at;
-        begun.is_none_or(|at| at - self.arrived_at > RUNNING_MS)
+        let started = self.started_at;
+        started.is_none_or(|at| at - self.arrived_at > RUNNING_MS)
     }
 }
 
-/// What an owner heard of a holder, and how many tasks it has handed over since.
+/// A holder's load as an owner last received it.
 #[derive(Clone, Copy, Default)]
-struct News {
-    at: Millis,
-    /// Its free slots less what waits.
-    room: i64,
-    handed: u64,
+struct LoadReport {
+    received_at: Millis,
+    /// Its free slots less its waiting tasks.
+    free_slots: i64,
+    /// Tasks that the owner handed over since.
+    handed_over: u64,
 }
 
-/// Plays a load, and returns all tasks.
-pub fn simulate(load: &Load, way: AdjustViews, seed: u64) -> Vec<Task> {
+/// Simulates a load and returns all tasks.
+pub fn simulate(load: &Load, adjust: AdjustViews, seed: u64) -> Vec<Task> {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut queues: Vec<Vec<Task>> = (0..HOSTS).map(|_| Vec::new()).collect();
     let mut ends = vec![Vec::new(); HOSTS];
-    let mut heard = [[News::default(); HOSTS]; HOSTS];
+    let mut reports = [[LoadReport::default(); HOSTS]; HOSTS];
     let (mut waiting, mut done) = (Vec::new(), Vec::new());
     for now in 1..4_000 {
-        let is_cut = |a, b| now >= load.cut_at && (a < HALL) != (b < HALL);
+        let is_cut = |a, b| now >= load.cut_at && (a < HOSTS_PER_HALL) != (b < HOSTS_PER_HALL);
         for at in 0..HOSTS {
-            let slots = SLOTS[at % HALL];
-            done.extend(begin(&mut queues[at], &mut ends[at], slots, now, &mut rng));
-            let room = slots - (ends[at].len() + queues[at].len()) as i64;
-            for (owner, heard) in heard.iter_mut().enumerate() {
+            let slots = SLOTS[at % HOSTS_PER_HALL];
+            done.extend(start_tasks(
+                &mut queues[at],
+                &mut ends[at],
+                slots,
+                now,
+                &mut rng,
+            ));
+            let free_slots = slots - (ends[at].len() + queues[at].len()) as i64;
+            for (owner, reports) in reports.iter_mut().enumerate() {
                 let turn = now + (7 * owner + 13 * at) as Millis;
                 if owner == at || (turn % load.update_ms == 0 && !is_cut(owner, at)) {
-                    heard[at] = News {
-                        at: now,
-                        room,
-                        handed: 0,
+                    reports[at] = LoadReport {
+                        received_at: now,
+                        free_slots,
+                        handed_over: 0,
                     };
                 }
             }
         }
         for owner in 0..HOSTS {
-            let hosts_part = SLOTS.iter().sum::<i64>() as f64 / HALL as f64;
-            let asked = (load.demand)(owner / HALL, now) * hosts_part;
-            if rng.random_bool(asked / RUNNING_MS as f64) {
+            let slots_per_host = SLOTS.iter().sum::<i64>() as f64 / HOSTS_PER_HALL as f64;
+            let demand = (load.demand)(owner / HOSTS_PER_HALL, now) * slots_per_host;
+            if rng.random_bool(demand / RUNNING_MS as f64) {
                 waiting.push(Task {
                     owner,
                     arrived_at: now,
                     may_wait_ms: [RUNNING_MS / 4, 5 * RUNNING_MS][rng.random_range(0..2)],
                     is_hot: rng.random_bool(load.hot),
                     holder: None,
-                    begun_at: None,
+                    started_at: None,
                 });
             }
         }
@@ -110,21 +119,21 @@
                 continue;
             };
             let owner = task.owner;
-            let known = heard[owner].iter().enumerate();
-            let views = known.map(|(at, news)| view(&task, at, news, now));
+            let known = reports[owner].iter().enumerate();
+            let views = known.map(|(at, report)| view(&task, at, report, now));
             let mut views: Vec<HolderView> = views.collect();
-            let looking = TaskView {
+            let task_view = TaskView {
                 name: &format!("{now}.{owner}"),
                 running_ms: RUNNING_MS,
                 far_slowdown: FAR_SLOWDOWN,
             };
-            way(&looking, &mut views);
-            let Some(choice) = choose_holder(&looking, &views, left_ms) else {
+            adjust(&task_view, &mut views);
+            let Some(choice) = choose_holder(&task_view, &views, left_ms) else {
                 waiting.push(task);
                 continue;
             };
             task.holder = Some(choice.holder);
-            heard[owner][choice.holder].handed += 1;
+            reports[owner][choice.holder].handed_over += 1;
             if is_cut(owner, choice.holder) {
                 done.push(task);
             } else {
@@ -135,8 +144,9 @@
     done
 }
 
-/// Begins what can't wait longest while there is room; returns it, and what is too late.
-fn begin(
+/// Starts tasks in free slots, the one with the earliest latest start first; returns them and
+/// those dropped as too late.
+fn start_tasks(
     queue: &mut Vec<Task>,
     ends: &mut Vec<Millis>,
     slots: i64,
@@ -145,32 +155,35 @@
 ) -> Vec<Task> {
     ends.retain(|end| *end > now);
     queue.sort_by_key(|task| std::cmp::Reverse(task.arrived_at + task.may_wait_ms));
-    let mut begun = Vec::new();
+    let mut left_queue = Vec::new();
     while (ends.len() as i64) < slots {
         let Some(mut task) = queue.pop() else {
             break;
         };
         if now - task.arrived_at <= task.may_wait_ms {
-            let took = rng.random_range(RUNNING_MS / 2..=RUNNING_MS * 3 / 2) as f64;
+            let running_ms = rng.random_range(RUNNING_MS / 2..=RUNNING_MS * 3 / 2) as f64;
             let slowdown = if task.is_far() { FAR_SLOWDOWN } else { 1.0 };
-            ends.push(now + (took * slowdown) as Millis);
-            task.begun_at = Some(now);
+            ends.push(now + (running_ms * slowdown) as Millis);
+            task.started_at = Some(now);
         }
-        begun.push(task);
+        left_queue.push(task);
     }
-    begun
+    left_queue
 }
 
-fn view(task: &Task, at: usize, news: &News, now: Millis) -> HolderView {
-    /// What wasn't heard for so long is taken to be silent, in ms.
+fn view(task: &Task, at: usize, report: &LoadReport, now: Millis) -> HolderView {
+    /// A holder whose last report is older than this counts as silent, in ms.
     const SILENT_MS: Millis = 2_500;
-    let news_age_ms = now - news.at;
-    // What was handed over long ago is done by now.
-    let handed = news.handed * RUNNING_MS / news_age_ms.max(RUNNING_MS);
-    let (slots, room) = (SLOTS[at % HALL], news.room - handed as i64);
-    let expected_ms = ((1 - room) * RUNNING_MS as i64 / slots) as Millis;
-    let spare_cpu = if room > 0 { room } else { slots } as u32;
-    let place = match room {
+    let news_age_ms = now - report.received_at;
+    // Tasks that were handed over long ago are done by now.
+    let handed_over = report.handed_over * RUNNING_MS / news_age_ms.max(RUNNING_MS);
+    let (slots, free_slots) = (
+        SLOTS[at % HOSTS_PER_HALL],
+        report.free_slots - handed_over as i64,
+    );
+    let expected_ms = ((1 - free_slots) * RUNNING_MS as i64 / slots) as Millis;
+    let spare_cpu = if free_slots > 0 { free_slots } else { slots } as u32;
+    let place = match free_slots {
         _ if news_age_ms > SILENT_MS => Availability::None,
         1.. => Availability::Free { spare_cpu },
         _ => Availability::Wait {
@@ -178,13 +191,13 @@
             expected_ms,
         },
     };
-    let is_near = !task.is_hot || at % HALL % 4 == 1;
+    let is_near = !task.is_hot || at % HOSTS_PER_HALL % 4 == 1;
     let (near, far) = if is_near {
         (place, Availability::None)
     } else {
         (Availability::None, place)
     };
-    let other_hall = at / HALL != task.hall();
+    let other_hall = at / HOSTS_PER_HALL != task.hall();
     HolderView {
         other_hall,
         transit_ms: if other_hall {
--- a/crates/dispatcher-core/tests/support/mod.rs
+++ b/crates/dispatcher-core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One host with scripted surroundings.
+//! A test rig around one [`Dispatcher`]: the test plays its targets, peers and callers.
 #![allow(dead_code)]
 
 use gannetridge_dispatcher_core::configuration::{Configuration, Queue};
@@ -23,7 +23,7 @@
     drain_ms: 2_000,
 };
 
-/// A call that a host made.
+/// A call that the host made to a target.
 #[derive(Clone, Debug)]
 pub struct Called {
     pub call: CallId,
@@ -32,17 +32,17 @@
     pub wait_ms: Millis,
 }
 
-/// One host whose calls to targets and peers are kept for the test to answer.
+/// One host whose outgoing calls are collected for the test to answer.
 pub struct Rig {
     pub host: Dispatcher,
     pub now: Millis,
     pub answers: Vec<(RequestId, Answer)>,
     pub calls: Vec<Called>,
     pub requests: Vec<(CallId, Envelope)>,
-    /// Where requests to peers were sent.
+    /// The addresses to which requests to peers were sent.
     pub addresses: std::collections::HashMap<CallId, std::net::SocketAddr>,
     pub replies: Vec<(RequestId, Reply)>,
-    /// What it logged.
+    /// The decisions that the host logged.
     pub decisions: Vec<Decision>,
     pub stopped: bool,
 }
@@ -96,7 +96,7 @@
     }
 }
 
-/// An order in a peer's name.
+/// Returns an order that a peer may send, for a task of 7 cores.
 pub fn order(task: &str, estimate_ms: Millis) -> TaskOrder {
     TaskOrder {
         id: AttemptId {
@@ -124,7 +124,7 @@
     }
 }
 
-/// The settings of the host.
+/// Returns the settings of the host under test.
 pub fn settings() -> Settings {
     Settings {
         name: "host".into(),
@@ -142,12 +142,12 @@
 }
 
 impl Rig {
-    /// A host with a configuration and no targets.
+    /// Creates a host with a configuration and no targets.
     pub fn new() -> Self {
         Self::with(settings())
     }
 
-    /// A host with settings and a configuration, and no targets.
+    /// Creates a host with these settings, a configuration and no targets.
     pub fn with(settings: Settings) -> Self {
         let mut rig = Self {
             host: Dispatcher::new(settings).unwrap(),
@@ -164,12 +164,12 @@
         rig
     }
 
-    /// A host that keeps the given targets.
+    /// Creates a host that holds the leases of these targets.
     pub fn holding_targets(targets: &[TargetEntry]) -> Self {
         Self::holding_targets_with(settings(), targets)
     }
 
-    /// A host with settings that keeps the given targets.
+    /// Creates a host with these settings that holds the leases of these targets.
     pub fn holding_targets_with(settings: Settings, targets: &[TargetEntry]) -> Self {
         let mut rig = Self::with(settings);
         rig.event(Event::TargetsRead(targets.to_vec().into()));
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Lets time pass in steps of 10 ms.
+    /// Advances the time in steps of at most 10 ms, with a tick after each.
     pub fn pass(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
@@ -226,7 +226,7 @@
         self.submit_to("/turns/", request_id, id, steps, deadline_ms);
     }
 
-    /// Submits a job to the queue with a prefix.
+    /// Submits a job to the queue with this path prefix.
     pub fn submit_to(
         &mut self,
         prefix: &str,
@@ -269,7 +269,7 @@
         self.target_reply(call, reply);
     }
 
-    /// Takes the starts that were sent, with the calls that carry them.
+    /// Removes and returns the starts sent to targets, each with its call and target.
     pub fn starts(&mut self) -> Vec<(CallId, String, AttemptId)> {
         let mut starts = Vec::new();
         self.calls.retain(|called| match &called.order {
@@ -282,7 +282,7 @@
         starts
     }
 
-    /// Takes the stops that were sent.
+    /// Removes and returns the stops sent to targets.
     pub fn stops(&mut self) -> Vec<AttemptId> {
         let mut stops = Vec::new();
         self.calls.retain(|called| match &called.order {
@@ -295,7 +295,7 @@
         stops
     }
 
-    /// Takes the holds that were sent.
+    /// Removes and returns the lease renewals sent to targets, each with the requested end.
     pub fn renewals(&mut self) -> Vec<(CallId, Option<Millis>)> {
         let mut renewals = Vec::new();
         self.calls.retain(|called| match &called.order {
@@ -308,21 +308,21 @@
         renewals
     }
 
-    /// Answers all renewals in the name of idle targets: they run nothing.
+    /// Answers all renewals as targets on which nothing runs.
     pub fn idle_targets_answer(&mut self) {
         for (call, _) in self.renewals() {
             self.listing(call, &[], &[]);
         }
     }
 
-    /// Lets time pass until no lease matters that another host may have been granted before this
-    /// one acquired its targets, on which nothing runs.
+    /// Advances the time until any lease that another host may have had on the targets has
+    /// expired; the targets report that nothing runs.
     pub fn pass_earlier_leases(&mut self) {
         self.pass(500);
         self.idle_targets_answer();
     }
 
-    /// Takes the requests to peers that a test looks for.
+    /// Removes and returns the requests to peers for which `wanted` holds.
     pub fn requests(&mut self, wanted: impl Fn(&Request) -> bool) -> Vec<(CallId, Envelope)> {
         let (found, rest) = std::mem::take(&mut self.requests)
             .into_iter()
@@ -331,7 +331,8 @@
         found
     }
 
-    /// A peer's reply, with the free resources that it advertises.
+    /// Returns a peer's reply with the free resources that it advertises. The peer's clock is
+    /// 90 s ahead of the host's.
     pub fn reply(&self, body: ReplyBody, free_cpu: u32) -> Box<Reply> {
         let free = FreeResources {
             pool: "pool".into(),
@@ -349,7 +350,7 @@
         })
     }
 
-    /// Answers all heartbeats in the peer's name.
+    /// Answers all heartbeats as the peer.
     pub fn answer_heartbeats(&mut self, free_cpu: u32) {
         let heartbeats = self.requests(|request| matches!(request, Request::Heartbeat(_)));
         for (call, _) in heartbeats {
@@ -364,7 +365,7 @@
         }
     }
 
-    /// Replies to a request as a peer without free resources would.
+    /// Replies to a request as a peer without free resources.
     pub fn reply_to(&mut self, call: CallId, request: &Request) {
         let body = match request {
             Request::Heartbeat(_) => ReplyBody::Heartbeat(HeartbeatReply {
@@ -379,12 +380,12 @@
         self.event(Event::PeerReply { call, reply });
     }
 
-    /// A request in the peer's name.
+    /// Delivers a request from the peer.
     pub fn peer_asks(&mut self, request_id: u64, request: Request) {
         self.peer_asks_as(request_id, peer_info().incarnation, 1, request);
     }
 
-    /// A request in the name of one life of the peer, in a session of it.
+    /// Delivers a request from one incarnation and session of the peer.
     pub fn peer_asks_as(
         &mut self,
         request_id: u64,
@@ -435,7 +436,7 @@
     }
 }
 
-/// Names a test after the case that it shows.
+/// Declares a test function.
 macro_rules! case {
     ($name:ident, $body:block) => {
         #[test]
--- a/crates/dispatcher-core/tests/support/slot_pool.rs
+++ b/crates/dispatcher-core/tests/support/slot_pool.rs
@@ -1,4 +1,4 @@
-//! One holder's targets as a number of slots, and jobs that compete for them.
+//! Simulation of the waiting order: jobs that compete for the slots of one holder.
 #![allow(dead_code)]
 
 use std::cmp::Ordering;
@@ -18,7 +18,8 @@
 
 const SLOT_CPU: u32 = 8_000;
 
-/// Jobs of one queue from one hall at random times, `slots` full of them on average.
+/// Jobs of one queue from one hall that arrive at random times and take `slots` slots on
+/// average.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub queue: &'static str,
@@ -73,60 +74,61 @@
 
 pub type Order = fn(&WaitingEntry<'_>, &WaitingEntry<'_>, &Shares) -> Ordering;
 
-/// How the slots are given out.
+/// The rules by which slots are assigned.
 #[derive(Clone)]
 pub struct Policy {
     pub order: Order,
     pub shares: Shares,
-    /// Whether jobs begin as units.
+    /// Whether a job counts as late unless all of its tasks can start in time.
     pub starts_whole_jobs: bool,
-    /// Whether long tasks are bounded.
+    /// Whether the slots that long tasks may hold are limited.
     pub bounds_long_tasks: bool,
-    /// Whether jobs are refused on arrival.
+    /// Whether jobs that can't be served in time are refused on arrival.
     pub refuses_on_arrival: bool,
 }
 
-/// What became of jobs, and the slots times ms that they took.
+/// Results of a group of jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Got {
+pub struct Totals {
     pub jobs: f64,
     pub on_time: f64,
     pub late: f64,
+    /// Slots used, times ms.
     pub slot_ms: f64,
-    /// Time for which jobs waited that were refused.
+    /// Time that given-up jobs had waited.
     pub refused_wait_ms: f64,
 }
 
 #[derive(Debug, Default)]
 pub struct Outcome {
-    by_origin: BTreeMap<(&'static str, &'static str), Got>,
-    /// Slots times ms that were free while a task waited.
+    by_origin: BTreeMap<(&'static str, &'static str), Totals>,
+    /// Slots that were free while a task waited, times ms.
     pub idle_slot_ms: f64,
 }
 
 impl Outcome {
-    /// What a queue got, in all halls or in one.
-    pub fn totals(&self, queue: &str, hall: Option<&str>) -> Got {
-        let mut sum = Got::default();
-        for ((other, from), got) in &self.by_origin {
+    /// Returns the totals of a queue, for one hall or all.
+    pub fn totals(&self, queue: &str, hall: Option<&str>) -> Totals {
+        let mut sum = Totals::default();
+        for ((other, from), totals) in &self.by_origin {
             if *other == queue && hall.is_none_or(|hall| hall == *from) {
-                sum.jobs += got.jobs;
-                sum.on_time += got.on_time;
-                sum.late += got.late;
-                sum.slot_ms += got.slot_ms;
-                sum.refused_wait_ms += got.refused_wait_ms;
+                sum.jobs += totals.jobs;
+                sum.on_time += totals.on_time;
+                sum.late += totals.late;
+                sum.slot_ms += totals.slot_ms;
+                sum.refused_wait_ms += totals.refused_wait_ms;
             }
         }
         sum
     }
 
-    /// The part of a queue's jobs that were answered on time.
+    /// Returns the share of a queue's jobs that were on time.
     pub fn on_time(&self, queue: &str) -> f64 {
-        let got = self.totals(queue, None);
-        got.on_time / got.jobs
+        let totals = self.totals(queue, None);
+        totals.on_time / totals.jobs
     }
 
-    fn of(&mut self, load: &Load) -> &mut Got {
+    fn totals_mut(&mut self, load: &Load) -> &mut Totals {
         self.by_origin.entry((load.queue, load.hall)).or_default()
     }
 }
@@ -136,22 +138,22 @@
     queue: Name,
     hall: Name,
     arrived: Millis,
-    waiting: u32,
-    left: u32,
+    waiting_tasks: u32,
+    open_tasks: u32,
 }
 
 impl Job<'_> {
-    fn begun(&self) -> bool {
-        self.waiting < self.load.tasks
+    fn has_started(&self) -> bool {
+        self.waiting_tasks < self.load.tasks
     }
 
     fn is_worthless(&self, now: Millis) -> bool {
         let until = self.arrived + worth_ms(self.load.objective_ms());
-        !self.begun() && now + self.load.task_ms > until
+        !self.has_started() && now + self.load.task_ms > until
     }
 
-    /// Whether a host takes it that knows what the holder tells.
-    fn is_taken(&self, has_room: bool, load: &PoolLoad) -> bool {
+    /// Returns whether a host that knows the holder's load accepts the job.
+    fn is_accepted(&self, has_room: bool, load: &PoolLoad) -> bool {
         let listed_cpu = u64::from(load.capacity_cpu);
         let pool = KnownPoolLoad::new([(load, 0)].into_iter(), listed_cpu, 0);
         let job = ArrivingJob {
@@ -166,12 +168,13 @@
         decide(&pool, &job).retry_after_ms.is_none()
     }
 
-    /// `begun_core_ms` are left of jobs that have begun and go before it.
-    fn waiting(&self, now: Millis, room_cpu: u32, begun_core_ms: u64) -> WaitingEntry<'_> {
+    /// Returns the job as the waiting order sees it. `started_core_ms` is the work left of
+    /// started jobs that go before it.
+    fn waiting(&self, now: Millis, capacity_cpu: u32, started_core_ms: u64) -> WaitingEntry<'_> {
         let job = WaitingJob {
             age_ms: now - self.arrived,
             objective_ms: self.load.objective_ms(),
-            started: self.begun(),
+            started: self.has_started(),
             urgency: self.load.urgency,
         };
         let priority = priority(&job, self.load.task_ms);
@@ -179,19 +182,19 @@
         let fits = || {
             may_start_job(
                 core_ms,
-                begun_core_ms,
-                room_cpu,
+                started_core_ms,
+                capacity_cpu,
                 priority.slack_ms as Millis,
             )
         };
-        let in_vain = priority.class == PriorityClass::OnTime && !fits();
+        let will_be_late = priority.class == PriorityClass::OnTime && !fits();
         WaitingEntry {
             origin: Origin {
                 urgency: self.load.urgency,
                 queue: &self.queue,
                 hall: &self.hall,
             },
-            class: if in_vain {
+            class: if will_be_late {
                 PriorityClass::Late
             } else {
                 priority.class
@@ -202,44 +205,44 @@
 }
 
 /// A holder's slots, and the jobs that compete for them.
-struct Room<'a> {
+struct SlotPool<'a> {
     slots: u32,
-    ways: Policy,
+    policy: Policy,
     jobs: BTreeMap<usize, Job<'a>>,
-    /// When tasks end, and their jobs.
+    /// End time, job and load of each running task.
     running: Vec<(Millis, usize, &'a Load)>,
     long: LongTaskLimit,
     outcome: Outcome,
 }
 
-impl<'a> Room<'a> {
+impl<'a> SlotPool<'a> {
     fn cpu(&self) -> u32 {
         self.slots * SLOT_CPU
     }
 
-    fn free(&self) -> u32 {
+    fn free_slots(&self) -> u32 {
         self.slots - self.running.len() as u32
     }
 
-    fn end(&mut self, now: Millis) {
+    fn end_tasks(&mut self, now: Millis) {
         let running = std::mem::take(&mut self.running);
         let (ended, running) = running.into_iter().partition(|(end, ..)| *end == now);
         self.running = running;
         let ended: Vec<(Millis, usize, &Load)> = ended;
         for (_, id, load) in ended {
             let job = self.jobs.get_mut(&id).unwrap();
-            job.left -= 1;
-            if job.left == 0 {
+            job.open_tasks -= 1;
+            if job.open_tasks == 0 {
                 let on_time = now - job.arrived <= load.objective_ms();
-                self.outcome.of(load).on_time += f64::from(on_time);
-                self.outcome.of(load).late += f64::from(!on_time);
+                self.outcome.totals_mut(load).on_time += f64::from(on_time);
+                self.outcome.totals_mut(load).late += f64::from(!on_time);
                 self.jobs.remove(&id);
             }
         }
     }
 
-    fn arrive(&mut self, now: Millis, id: usize, load: &'a Load) {
-        self.outcome.of(load).jobs += 1.0;
+    fn add_job(&mut self, now: Millis, id: usize, load: &'a Load) {
+        self.outcome.totals_mut(load).jobs += 1.0;
         for _ in 0..load.tasks {
             let slack_ms = load.objective_ms() - load.task_ms;
             self.long.record_arrival(now, &load.task(), slack_ms);
@@ -249,15 +252,15 @@
             queue: load.queue.into(),
             hall: load.hall.into(),
             arrived: now,
-            waiting: load.tasks,
-            left: load.tasks,
+            waiting_tasks: load.tasks,
+            open_tasks: load.tasks,
         };
-        if !self.ways.refuses_on_arrival || job.is_taken(self.free() > 0, &self.load()) {
+        if !self.policy.refuses_on_arrival || job.is_accepted(self.free_slots() > 0, &self.load()) {
             self.jobs.insert(id, job);
         }
     }
 
-    /// What the holder tells of its slots and of what waits.
+    /// Returns the load that the holder reports.
     fn load(&self) -> PoolLoad {
         let mut waiting: BTreeMap<u8, WaitingWork> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -266,52 +269,52 @@
                 tasks: 0,
                 core_ms: 0,
             });
-            work.tasks += job.waiting;
-            work.core_ms += u64::from(job.waiting) * job.load.core_ms();
+            work.tasks += job.waiting_tasks;
+            work.core_ms += u64::from(job.waiting_tasks) * job.load.core_ms();
         }
         PoolLoad {
             pool: "pool".into(),
             capacity_cpu: self.cpu(),
-            used_cpu: self.cpu() - self.free() * SLOT_CPU,
+            used_cpu: self.cpu() - self.free_slots() * SLOT_CPU,
             queue_cpu: 0,
             waiting: waiting.into_values().collect(),
         }
     }
 
-    fn give_up(&mut self, now: Millis) {
+    fn give_up_worthless(&mut self, now: Millis) {
         for job in self.jobs.values().filter(|job| job.is_worthless(now)) {
-            self.outcome.of(job.load).refused_wait_ms += (now - job.arrived) as f64;
+            self.outcome.totals_mut(job.load).refused_wait_ms += (now - job.arrived) as f64;
         }
         self.jobs.retain(|_, job| !job.is_worthless(now));
     }
 
-    /// The jobs with waiting tasks, a task of each.
+    /// Returns the jobs with waiting tasks, as the waiting order sees them.
     fn waiting(&self, now: Millis) -> Vec<(usize, WaitingEntry<'_>)> {
-        let mut begun_core_ms = BTreeMap::new();
-        for job in self.jobs.values().filter(|job| job.begun()) {
-            let core_ms = u64::from(job.waiting) * job.load.core_ms();
-            *begun_core_ms.entry(job.load.urgency).or_insert(0) += core_ms;
+        let mut started_core_ms = BTreeMap::new();
+        for job in self.jobs.values().filter(|job| job.has_started()) {
+            let core_ms = u64::from(job.waiting_tasks) * job.load.core_ms();
+            *started_core_ms.entry(job.load.urgency).or_insert(0) += core_ms;
         }
-        let room_cpu = if self.ways.starts_whole_jobs {
+        let capacity_cpu = if self.policy.starts_whole_jobs {
             self.cpu()
         } else {
             u32::MAX
         };
-        let waiting = self.jobs.iter().filter(|(_, job)| job.waiting > 0);
+        let waiting = self.jobs.iter().filter(|(_, job)| job.waiting_tasks > 0);
         let waiting = waiting.map(|(id, job)| {
-            let before = begun_core_ms.range(..=job.load.urgency);
+            let before = started_core_ms.range(..=job.load.urgency);
             let before = before.map(|(_, core_ms)| core_ms).sum();
-            (*id, job.waiting(now, room_cpu, before))
+            (*id, job.waiting(now, capacity_cpu, before))
         });
         waiting.collect()
     }
 
-    /// Starts the task that goes first; returns whether there was one.
+    /// Starts the first of the waiting tasks that may start; returns whether there was one.
     fn start_first(&mut self, now: Millis) -> bool {
-        if self.free() == 0 {
+        if self.free_slots() == 0 {
             return false;
         }
-        let (mut shares, mut long) = (self.ways.shares.clone(), self.long.clone());
+        let (mut shares, mut long) = (self.policy.shares.clone(), self.long.clone());
         let waiting = self.waiting(now);
         let counting = waiting.iter().filter(|(_, task)| task.counts_for_shares());
         shares.advance(now, counting.map(|(_, task)| task.origin));
@@ -319,26 +322,30 @@
         let able = waiting.iter().filter(|(id, _)| {
             let task = self.jobs[id].load.task();
             let may_start = long.may_start(now, &task, self.cpu(), held.clone());
-            may_start || !self.ways.bounds_long_tasks
+            may_start || !self.policy.bounds_long_tasks
         });
-        let first = able.min_by(|(_, a), (_, b)| (self.ways.order)(a, b, &shares));
+        let first = able.min_by(|(_, a), (_, b)| (self.policy.order)(a, b, &shares));
         let Some((id, task)) = first else {
-            let idle = if waiting.is_empty() { 0 } else { self.free() };
+            let idle = if waiting.is_empty() {
+                0
+            } else {
+                self.free_slots()
+            };
             self.outcome.idle_slot_ms += f64::from(idle);
             return false;
         };
         let (id, load) = (*id, self.jobs[id].load);
         shares.record_start(now, &task.origin, load.core_ms());
-        self.ways.shares = shares;
-        self.outcome.of(load).slot_ms += load.task_ms as f64;
-        self.jobs.get_mut(&id).unwrap().waiting -= 1;
+        self.policy.shares = shares;
+        self.outcome.totals_mut(load).slot_ms += load.task_ms as f64;
+        self.jobs.get_mut(&id).unwrap().waiting_tasks -= 1;
         self.running.push((now + load.task_ms, id, load));
         true
     }
 }
 
-/// Plays loads on `slots` for `ms`.
-pub fn simulate(seed: u64, slots: u32, ms: Millis, loads: &[Load], ways: Policy) -> Outcome {
+/// Simulates loads on `slots` slots for `ms`.
+pub fn simulate(seed: u64, slots: u32, ms: Millis, loads: &[Load], policy: Policy) -> Outcome {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut arrivals: Vec<(Millis, &Load)> = Vec::new();
     for load in loads {
@@ -346,21 +353,21 @@
     }
     arrivals.sort_by_key(|(at, _)| *at);
     let mut arrivals = arrivals.into_iter().enumerate().peekable();
-    let mut room = Room {
+    let mut pool = SlotPool {
         slots,
-        ways,
+        policy,
         jobs: BTreeMap::new(),
         running: Vec::new(),
         long: LongTaskLimit::default(),
         outcome: Outcome::default(),
     };
     for now in 0..ms {
-        room.end(now);
+        pool.end_tasks(now);
         while let Some((id, (_, load))) = arrivals.next_if(|(_, (at, _))| *at == now) {
-            room.arrive(now, id, load);
+            pool.add_job(now, id, load);
         }
-        room.give_up(now);
-        while room.start_first(now) {}
+        pool.give_up_worthless(now);
+        while pool.start_first(now) {}
     }
-    room.outcome
+    pool.outcome
 }
