--- a/crates/dispatcher-core/tests/support/slot_pool.rs
+++ b/crates/dispatcher-core/tests/support/slot_pool.rs
@@ -36,7 +36,7 @@
         Self { slots, ..self }
     }
 
-    pub fn from_hall(self, hall: &'static str) -> Self {
+    pub fn in_hall(self, hall: &'static str) -> Self {
         Self { hall, ..self }
     }
 
--- a/crates/dispatcher-core/tests/waiting_order.rs
+++ b/crates/dispatcher-core/tests/waiting_order.rs
@@ -167,7 +167,7 @@
 /// Returns whether three halls, one of which has twice the callers, get equal shares of a capacity
 /// that is too small.
 fn halls_get_equal_shares(order: Order) -> bool {
-    let from = |hall, part| middle(part).from_hall(hall);
+    let from = |hall, part| middle(part).in_hall(hall);
     let loads = [from("north", 0.5), from("south", 0.5), from("west", 1.0)];
     let fair_share = f64::from(SLOTS) / 3.0;
     ["north", "south", "west"].into_iter().all(|hall| {
