--- a/crates/dispatcher-core/src/jobs/job.rs
+++ b/crates/dispatcher-core/src/jobs/job.rs
@@ -40,7 +40,7 @@
     /// the peer was given up.
     pub(super) fn location(&self) -> Option<AttemptLocation> {
         match self {
-            Self::Running(place) => Some(place.clone()),
+            Self::Running(location) => Some(location.clone()),
             Self::HandedOver(peer) => Some(AttemptLocation::Peer(peer.clone())),
             Self::Blocked | Self::Waiting | Self::Lost(_) | Self::Done => None,
         }
@@ -168,8 +168,8 @@
         open.map(|task| self.spec.steps[task.step].estimate_ms)
     }
 
-    /// Returns whether a task may have started. If none can have, the caller may get
-    /// the answer that the job has not run.
+    /// Returns whether a task may have started. If none can have, the job may be
+    /// refused as not run.
     pub(super) fn may_have_started(&self) -> bool {
         let handed_over = |task: &Task| matches!(task.state, TaskState::HandedOver(_));
         self.started || self.tasks.iter().any(handed_over)
--- a/crates/dispatcher-core/src/jobs/mod.rs
+++ b/crates/dispatcher-core/src/jobs/mod.rs
@@ -35,7 +35,8 @@
 
 /// Deadline of a job whose caller sets none, in ms.
 const DEFAULT_DEADLINE_MS: Millis = 5_000;
-/// Answers are sent this long before the caller's deadline, in ms.
+/// A job's own deadline is this long before its caller's, so that the answer arrives in time;
+/// in ms.
 const ANSWER_MARGIN_MS: Millis = 20;
 /// Maximum number of entries in each map of [`Remembered`] values; bounds memory.
 const MAX_REMEMBERED: usize = 4_096;
@@ -62,7 +63,7 @@
     pub version: u64,
 }
 
-/// An attempt that has to be stopped because its job has ended.
+/// An attempt that has to be stopped because its result is no longer needed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptToStop {
     /// Where it runs or may run.
