--- a/crates/dispatcher-core/src/jobs/ending.rs
+++ b/crates/dispatcher-core/src/jobs/ending.rs
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Returns the jobs with waiting tasks and without attempts that run or may run.
+    /// Returns the jobs with waiting tasks of which no attempt runs and no peer was asked to start
+    /// one.
     #[must_use]
     pub fn without_attempts(&self) -> Vec<Name> {
         let waiting = self.ready.iter().map(|key| &key.job);
