--- a/crates/dispatcher-core/src/target_list.rs
+++ b/crates/dispatcher-core/src/target_list.rs
@@ -1,7 +1,7 @@
-//! The platform's list of targets, as the store holds it and hosts tell it each other.
+//! The platform's list of targets, as read from the store and as sent between hosts.
 //!
-//! Hosts send these to each other, so fields stand by position: see [`crate::message`]. What a
-//! host makes of them stands in `targets/list.rs` and in `store_news.rs`.
+//! Messages encode these types by position: see [`crate::message`]. `targets/list.rs` and
+//! `store_replica.rs` apply the changes.
 
 use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
@@ -9,51 +9,51 @@
 use crate::decision::EntryFault;
 use crate::spec::Resources;
 
-/// A target as the platform lists it.
+/// A target in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
-    /// The target's id; another incarnation has another.
+    /// The target's id. It normally identifies one incarnation, but a target may restart under it.
     pub id: Name,
-    /// Where it listens.
+    /// The address at which the target listens.
     pub address: Name,
-    /// Its hall.
+    /// Its data hall.
     pub hall: Name,
-    /// Its pool.
+    /// The pool to which it belongs.
     pub pool: Name,
-    /// The resources that it has.
+    /// The resources that it offers in total.
     pub capacity: Resources,
-    /// Its kind, its rack and more.
+    /// Labels for requirements and locality, such as its kind and its rack.
     pub labels: Vec<Name>,
-    /// Whether it leaves: it gets no new tasks.
+    /// True if the target is leaving: it gets no new tasks.
     pub leaving: bool,
 }
 
-/// An entry of the platform's list that names no target to use: it can't be read, or says
-/// what isn't known here. Other writers than targets may have written it.
+/// An entry of the platform's list that can't be used: it can't be read, or has a value that this
+/// release doesn't know. Other programs than targets may have written it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnusableEntry {
-    /// The id under which it stands.
+    /// The id under which it is listed.
     pub id: Name,
-    /// What is wrong with it.
+    /// Why the entry is unusable.
     pub fault: EntryFault,
 }
 
 /// A change of the list of targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetChange {
-    /// The target is there, as described.
+    /// The target was added, or its entry changed.
     #[serde(rename = "There")]
     Listed(TargetEntry),
-    /// The target is gone.
+    /// The target was removed.
     #[serde(rename = "Gone")]
     Removed(Name),
-    /// The target's entry is unusable. Hosts of earlier releases can't read this: they
-    /// read the list from the store instead.
+    /// The target's entry is unusable. Hosts of earlier releases can't decode this and read the
+    /// list from the store instead.
     Unusable(UnusableEntry),
 }
 
 impl TargetChange {
-    /// Returns the id of the target that it is about.
+    /// Returns the id of the changed entry.
     #[must_use]
     pub fn id(&self) -> &Name {
         match self {
@@ -67,9 +67,9 @@
 /// The whole list of targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetList {
-    /// The targets, as described.
+    /// The usable entries.
     pub targets: Vec<TargetEntry>,
-    /// The entries that name none to use.
+    /// The entries that can't be used.
     pub unusable: Vec<UnusableEntry>,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl TargetList {
-    /// Returns the list as changes of an empty one.
+    /// Returns the changes that turn an empty list into this one.
     pub fn into_changes(self) -> impl Iterator<Item = TargetChange> {
         let targets = self.targets.into_iter().map(TargetChange::Listed);
         let unusable = self.unusable.into_iter().map(TargetChange::Unusable);
--- a/crates/dispatcher-core/tests/backlog.rs
+++ b/crates/dispatcher-core/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait at the holder of targets: one failure or race each.
+//! Tasks that wait at holders of targets; each test covers one failure or race.
 
 mod support;
 
@@ -16,7 +16,7 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-/// Settings with which tasks wait at holders.
+/// Returns settings with which tasks wait at holders.
 fn settings() -> Settings {
     Settings {
         scheduling: Scheduling {
@@ -27,12 +27,12 @@
     }
 }
 
-/// A host that holds one target of 16 cores.
+/// Returns a host that holds one target of 16 cores.
 fn holder() -> Rig {
     Rig::holding_targets_with(settings(), &[target("near", 16)])
 }
 
-/// A task of 7 cores that a peer hands over now, and that may begin for as long as any.
+/// Returns a task of 7 cores that a peer hands over now with the longest possible wait.
 fn handed(rig: &Rig, task: &str, estimate_ms: Millis) -> HandedTask {
     HandedTask {
         order: order(task, estimate_ms),
@@ -42,12 +42,11 @@
             urgency: 0,
             slack_ms: 500,
         },
-        latest_begin: rig.now + MAX_HOLDER_WAIT_MS,
+        latest_start: rig.now + MAX_HOLDER_WAIT_MS,
     }
 }
 
-/// Hands tasks over in the peer's name; returns the positions of those that were started, and
-/// of those that wait.
+/// Hands tasks over as the peer; returns the positions of those started and of those queued.
 fn hand_over(rig: &mut Rig, tasks: Vec<HandedTask>) -> (Vec<u32>, Vec<u32>) {
     rig.peer_asks(9, Request::HandOver(tasks));
     let (_, reply) = rig.replies.pop().expect("a reply");
@@ -60,8 +59,8 @@
     }
 }
 
-/// A holder whose target runs two tasks for 100 ms while a third one waits; returns the
-/// calls' attempts.
+/// Returns a holder whose target runs two tasks of 100 ms while a third one waits, and the running
+/// attempts.
 fn full_holder() -> (Rig, Vec<AttemptId>) {
     let mut rig = holder();
     let tasks = ["a.0.0.0", "a.0.0.1", "b.0.0.0"];
@@ -72,26 +71,26 @@
     (rig, starts.into_iter().map(|(_, _, id)| id).collect())
 }
 
-/// Lists the end of one attempt.
+/// Replies to a renewal with the end of one attempt.
 fn list_end(rig: &mut Rig, running: &[AttemptId], id: &AttemptId) {
     let (call, _) = rig.renewals().pop().expect("a renewal");
     rig.listing(call, running, &[ended(1, id, ListedOutcome::Done)]);
 }
 
-/// Takes the tasks that were given back to the peer as not begun.
-fn given_back(rig: &mut Rig) -> Vec<String> {
-    let told = rig.requests(|request| matches!(request, Request::Ended(_)));
-    let ends = told
+/// Takes the tasks that were returned to the peer as not started.
+fn returned(rig: &mut Rig) -> Vec<String> {
+    let reports = rig.requests(|request| matches!(request, Request::Ended(_)));
+    let ends = reports
         .into_iter()
         .flat_map(|(_, envelope)| match envelope.request {
             Request::Ended(ends) => ends,
             _ => Vec::new(),
         });
-    let not_begun = ends.filter(|end| end.outcome == AttemptOutcome::NotStarted);
-    not_begun.map(|end| end.id.task.to_string()).collect()
+    let not_started = ends.filter(|end| end.outcome == AttemptOutcome::NotStarted);
+    not_started.map(|end| end.id.task.to_string()).collect()
 }
 
-fn started(rig: &mut Rig) -> Vec<String> {
+fn started_tasks(rig: &mut Rig) -> Vec<String> {
     let starts = rig.starts().into_iter();
     starts.map(|(_, _, id)| id.task.to_string()).collect()
 }
@@ -100,42 +99,42 @@
     let (mut rig, running) = full_holder();
     rig.pass(20);
     list_end(&mut rig, &running[1..], &running[0]);
-    assert_eq!(started(&mut rig), ["b.0.0.0"]);
+    assert_eq!(started_tasks(&mut rig), ["b.0.0.0"]);
 });
 
-case!(nothing_starts_after_its_latest_begin, {
+case!(no_task_starts_after_its_latest_start, {
     let (mut rig, running) = full_holder();
     rig.now += MAX_HOLDER_WAIT_MS + 1;
     list_end(&mut rig, &running[1..], &running[0]);
-    assert!(started(&mut rig).is_empty());
-    assert_eq!(given_back(&mut rig), ["b.0.0.0"]);
+    assert!(started_tasks(&mut rig).is_empty());
+    assert_eq!(returned(&mut rig), ["b.0.0.0"]);
 });
 
-case!(what_comes_after_its_latest_begin_is_not_kept, {
+case!(a_task_received_after_its_latest_start_is_rejected, {
     let mut rig = holder();
     let late = HandedTask {
-        latest_begin: rig.now - 1,
+        latest_start: rig.now - 1,
         ..handed(&rig, "a.0.0.0", 100)
     };
     assert_eq!(hand_over(&mut rig, vec![late]), (vec![], vec![]));
-    assert!(started(&mut rig).is_empty());
+    assert!(started_tasks(&mut rig).is_empty());
 });
 
-case!(a_task_that_comes_twice_waits_once, {
+case!(a_task_handed_over_twice_waits_once, {
     let (mut rig, running) = full_holder();
     let again = handed(&rig, "b.0.0.0", 100);
     assert_eq!(hand_over(&mut rig, vec![again]), (vec![], vec![]));
     list_end(&mut rig, &[], &running[0]);
-    assert_eq!(started(&mut rig), ["b.0.0.0"]);
+    assert_eq!(started_tasks(&mut rig), ["b.0.0.0"]);
 });
 
-case!(only_what_can_begin_in_time_is_kept, {
+case!(only_tasks_that_can_start_in_time_are_queued, {
     let mut rig = holder();
     let long = ["a.0.0.0", "a.0.0.1", "b.0.0.0"].map(|task| handed(&rig, task, 900));
     assert_eq!(hand_over(&mut rig, long.to_vec()), (vec![0, 1], vec![]));
 });
 
-case!(no_more_wait_than_may, {
+case!(the_number_of_waiting_tasks_is_bounded, {
     let targets: Vec<_> = (0..60).map(|i| target(&format!("t{i}"), 16)).collect();
     let mut rig = Rig::holding_targets_with(settings(), &targets);
     let tasks = (0..200).map(|i| handed(&rig, &format!("a.0.0.{i}"), 50));
@@ -144,21 +143,21 @@
     assert_eq!((started.len(), waiting.len()), (120, MAX_QUEUED_PEER_TASKS));
 });
 
-case!(a_withdrawn_task_is_given_back_and_never_started, {
+case!(a_withdrawn_task_is_returned_and_never_started, {
     let (mut rig, running) = full_holder();
     let keys = vec![handed(&rig, "b.0.0.0", 100).order.id];
     rig.peer_asks(10, Request::Stop { keys, report: true });
-    assert_eq!(given_back(&mut rig), ["b.0.0.0"]);
+    assert_eq!(returned(&mut rig), ["b.0.0.0"]);
     list_end(&mut rig, &running[1..], &running[0]);
-    assert!(started(&mut rig).is_empty());
+    assert!(started_tasks(&mut rig).is_empty());
 });
 
 case!(tasks_of_a_silent_owner_are_dropped, {
     let (mut rig, running) = full_holder();
-    // Its owner's lease is over before its latest begin would be.
+    // The owner lease expires before the task's latest start.
     let owner_lease = support::BOUNDS.times().unwrap().owner_lease;
     let mut task = handed(&rig, "c.0.0.0", 100);
-    task.latest_begin += 10 * owner_lease;
+    task.latest_start += 10 * owner_lease;
     assert_eq!(hand_over(&mut rig, vec![task]).1, [0]);
     let silent_until = rig.now + owner_lease + 10;
     while rig.now < silent_until {
@@ -168,33 +167,33 @@
         }
     }
     list_end(&mut rig, &running[1..], &running[0]);
-    assert!(started(&mut rig).is_empty());
+    assert!(started_tasks(&mut rig).is_empty());
 });
 
 case!(tasks_of_an_earlier_session_are_dropped, {
     let (mut rig, running) = full_holder();
     rig.peer_asks_as(11, peer_info().incarnation, 2, Request::Configuration);
     list_end(&mut rig, &running[1..], &running[0]);
-    assert!(started(&mut rig).is_empty());
+    assert!(started_tasks(&mut rig).is_empty());
 });
 
-case!(a_host_that_stops_gives_back_what_waits, {
+case!(a_stopping_host_returns_waiting_tasks, {
     let (mut rig, _) = full_holder();
     rig.event(Event::Stop { age_ms: 0 });
-    assert_eq!(given_back(&mut rig), ["b.0.0.0"]);
+    assert_eq!(returned(&mut rig), ["b.0.0.0"]);
 });
 
-case!(a_holder_without_targets_gives_back_what_waits, {
+case!(a_holder_without_usable_targets_returns_waiting_tasks, {
     let (mut rig, _) = full_holder();
     let mut leaving = target("near", 16);
     leaving.leaving = true;
     rig.event(Event::TargetsRead(vec![leaving].into()));
     rig.pass(60);
-    assert_eq!(given_back(&mut rig), ["b.0.0.0"]);
+    assert_eq!(returned(&mut rig), ["b.0.0.0"]);
 });
 
-/// A holder whose target is full, with two tasks that wait: one of the urgency and slack of
-/// its own caller, and one of a peer. Returns whose is started first.
+/// Returns the task that is started first at a full holder with two waiting tasks: an own one, and
+/// one of a peer with the given urgency and slack.
 fn first_started(peers_urgency: u8, peers_slack_ms: i64) -> String {
     let (mut rig, running) = full_holder();
     let mut task = handed(&rig, "c.0.0.0", 100);
@@ -209,19 +208,19 @@
     );
     assert_eq!(hand_over(&mut rig, vec![task]).1, [0]);
     rig.submit(1, ID, vec![step(1, 7_000, 100)], 6_000);
-    assert!(started(&mut rig).is_empty());
+    assert!(started_tasks(&mut rig).is_empty());
     list_end(&mut rig, &running[1..], &running[0]);
-    started(&mut rig).remove(0)
+    started_tasks(&mut rig).remove(0)
 }
 
-case!(own_callers_and_those_of_peers_wait_in_one_order, {
+case!(own_tasks_and_those_of_peers_wait_in_one_order, {
     let own = format!("{ID}.0.0.0");
     assert_eq!(first_started(0, 0), "c.0.0.0");
     assert_eq!(first_started(0, 5_000), own);
     assert_eq!(first_started(1, 0), own);
 });
 
-/// A host without targets whose peer holds a full one with room for tasks that wait.
+/// Returns a host without targets whose peer holds a full one and accepts waiting tasks.
 fn owner() -> Rig {
     let mut rig = Rig::with(settings());
     rig.event(Event::HostsRead(vec![peer_info()]));
@@ -258,7 +257,7 @@
     rig.event(Event::PeerReply { call, reply });
 }
 
-/// The tasks that were handed over, with their calls.
+/// Takes the tasks that were handed over, with their calls.
 fn handed_over(rig: &mut Rig) -> Vec<(gannetridge_dispatcher_core::CallId, Vec<HandedTask>)> {
     let asked = rig.requests(|request| matches!(request, Request::HandOver(_)));
     let tasks = asked
@@ -270,8 +269,8 @@
     tasks.collect()
 }
 
-/// An owner whose task waits at the peer; returns it.
-fn waits_at_peer() -> (Rig, HandedTask) {
+/// Returns an owner, and its task that waits at the peer.
+fn owner_with_task_at_peer() -> (Rig, HandedTask) {
     let mut rig = owner();
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 6_000);
     let (call, mut tasks) = handed_over(&mut rig).remove(0);
@@ -283,7 +282,7 @@
     (rig, tasks.remove(0))
 }
 
-fn tells_end(rig: &mut Rig, id: &AttemptId, outcome: AttemptOutcome) {
+fn report_end(rig: &mut Rig, id: &AttemptId, outcome: AttemptOutcome) {
     let end = AttemptEnd {
         id: id.clone(),
         outcome,
@@ -293,30 +292,27 @@
 }
 
 case!(a_task_is_handed_over_once, {
-    let (mut rig, _) = waits_at_peer();
+    let (mut rig, _) = owner_with_task_at_peer();
     rig.pass(100);
     assert!(handed_over(&mut rig).is_empty());
 });
 
-case!(
-    a_task_that_was_given_back_is_tried_again_under_a_higher_number,
-    {
-        let (mut rig, task) = waits_at_peer();
-        tells_end(&mut rig, &task.order.id, AttemptOutcome::NotStarted);
-        let (_, tasks) = handed_over(&mut rig).remove(0);
-        assert_eq!(tasks[0].order.id.attempt, task.order.id.attempt + 1);
-        tells_end(&mut rig, &task.order.id, AttemptOutcome::Done);
-        assert_eq!(
-            rig.answer_to(1),
-            None,
-            "news of the earlier attempt count no more"
-        );
-    }
-);
+case!(a_returned_task_is_retried_with_a_higher_attempt_number, {
+    let (mut rig, task) = owner_with_task_at_peer();
+    report_end(&mut rig, &task.order.id, AttemptOutcome::NotStarted);
+    let (_, tasks) = handed_over(&mut rig).remove(0);
+    assert_eq!(tasks[0].order.id.attempt, task.order.id.attempt + 1);
+    report_end(&mut rig, &task.order.id, AttemptOutcome::Done);
+    assert_eq!(
+        rig.answer_to(1),
+        None,
+        "ends of the earlier attempt are ignored"
+    );
+});
 
-case!(what_was_given_back_did_not_run, {
-    let (mut rig, task) = waits_at_peer();
-    tells_end(&mut rig, &task.order.id, AttemptOutcome::NotStarted);
+case!(a_returned_task_counts_as_not_run, {
+    let (mut rig, task) = owner_with_task_at_peer();
+    report_end(&mut rig, &task.order.id, AttemptOutcome::NotStarted);
     for _ in 0..50 {
         rig.pass(10);
         for (call, _) in handed_over(&mut rig) {
@@ -342,15 +338,15 @@
         rig.pass(10);
         let stops = rig.requests(|request| matches!(request, Request::Stop { report: true, .. }));
         assert_eq!(stops.len(), 1);
-        assert!(handed_over(&mut rig).is_empty(), "it may run there");
-        tells_end(&mut rig, &tasks[0].order.id, AttemptOutcome::Lost);
+        assert!(handed_over(&mut rig).is_empty(), "it may be running there");
+        report_end(&mut rig, &tasks[0].order.id, AttemptOutcome::Lost);
         reply_with_load(&mut rig, stops[0].0, ReplyBody::Acknowledged);
         assert_eq!(handed_over(&mut rig).len(), 1);
     }
 );
 
-case!(a_caller_that_leaves_takes_its_task_back, {
-    let (mut rig, task) = waits_at_peer();
+case!(the_task_of_a_disconnected_caller_is_withdrawn, {
+    let (mut rig, task) = owner_with_task_at_peer();
     rig.event(Event::CallerGone {
         request_id: gannetridge_dispatcher_core::RequestId(1),
     });
@@ -362,7 +358,7 @@
 });
 
 case!(
-    a_task_waits_near_its_data_no_longer_than_it_would_lose_far_from_it,
+    a_task_waits_near_its_data_no_longer_than_it_would_lose_elsewhere,
     {
         assert_eq!(near_target_wait_ms(100, 1.5), 50);
         assert_eq!(near_target_wait_ms(100, 1.0), 0);
--- a/crates/dispatcher-core/tests/messages.rs
+++ b/crates/dispatcher-core/tests/messages.rs
@@ -1,6 +1,5 @@
-//! The bytes of each message between hosts. Fields stand by position and
-//! variants by name, so a moved field or a renamed variant shows here: hosts of
-//! two versions talk to each other while a release is rolled out.
+//! The encoded bytes of each message between hosts: detects moved fields and renamed variants,
+//! which hosts of another release couldn't decode.
 
 use std::fmt::Write;
 
@@ -15,7 +14,7 @@
 use gannetridge_dispatcher_core::spec::Resources;
 use gannetridge_wire::codec;
 
-/// Declares tests, each a name and the message that its snapshot holds.
+/// Declares tests by name, each with the message whose bytes its snapshot holds.
 macro_rules! bytes {
     ($($name:ident: $message:expr;)+) => {
         $(#[test]
@@ -25,7 +24,7 @@
     };
 }
 
-/// Writes bytes as hex, 16 in a line, with what is printable beside them.
+/// Formats bytes as hex, 16 per line, followed by their printable characters.
 fn dump(bytes: &[u8]) -> String {
     let mut text = String::new();
     for line in bytes.chunks(16) {
@@ -52,7 +51,7 @@
     }
 }
 
-fn key() -> AttemptId {
+fn attempt_id() -> AttemptId {
     AttemptId {
         task: "0123456789abcdef.0.1.2".into(),
         attempt: 3,
@@ -76,7 +75,7 @@
 
 fn order() -> TaskOrder {
     TaskOrder {
-        id: key(),
+        id: attempt_id(),
         specification: "spec".into(),
         pool: "pool-1".into(),
         resources: resources(500),
@@ -119,7 +118,7 @@
         order: plain_order(),
         queue: "queue-1".into(),
         priority: demand(PriorityClass::OnTime).priority,
-        latest_begin: 4_400,
+        latest_start: 4_400,
     }
 }
 
@@ -163,14 +162,14 @@
 
 fn ended(outcomes: &[AttemptOutcome]) -> Vec<AttemptEnd> {
     let ends = outcomes.iter().map(|outcome| AttemptEnd {
-        id: key(),
+        id: attempt_id(),
         outcome: *outcome,
         target: "target-7".into(),
     });
     ends.collect()
 }
 
-fn queues() -> Configuration {
+fn configuration() -> Configuration {
     Configuration {
         version: 12,
         queues: vec![Queue {
@@ -194,7 +193,7 @@
     }
 }
 
-fn ask(request: Request) -> Envelope {
+fn envelope(request: Request) -> Envelope {
     Envelope {
         from: host("host-a"),
         session: 5,
@@ -216,7 +215,7 @@
     }
 }
 
-fn store_news() -> StoreUpdate {
+fn store_update() -> StoreUpdate {
     StoreUpdate {
         targets_version: 300,
         configuration_version: 301,
@@ -228,34 +227,34 @@
 }
 
 bytes! {
-    request_beat: ask(Request::Heartbeat(heartbeat()));
-    request_without_echo: Envelope { echoed_clock: None, ..ask(Request::Configuration) };
-    request_place: ask(Request::Place(vec![order(), plain_order()]));
-    request_want: ask(Request::Demand(Some(demand(PriorityClass::Started))));
-    request_want_in_aim: ask(Request::Demand(Some(demand(PriorityClass::OnTime))));
-    request_want_late: ask(Request::Demand(Some(demand(PriorityClass::Late))));
-    request_want_worthless: ask(Request::Demand(Some(demand(PriorityClass::Worthless))));
-    request_no_want: ask(Request::Demand(None));
-    request_hand_over: ask(Request::HandOver(vec![handed_task()]));
-    request_room: ask(Request::FreeCapacity(load()));
-    request_offer: ask(Request::Reservation(free()));
-    request_stop: ask(Request::Stop { keys: vec![key()], report: true });
-    request_ended: ask(Request::Ended(ends()));
-    request_ended_crashed: ask(Request::Ended(crashes()));
-    request_place_alone: ask(Request::PlaceAlone(vec![plain_order()]));
-    request_crashes: ask(Request::Crashes(vec![CrashRecord {
-        task: key().task,
+    request_beat: envelope(Request::Heartbeat(heartbeat()));
+    request_without_echo: Envelope { echoed_clock: None, ..envelope(Request::Configuration) };
+    request_place: envelope(Request::Place(vec![order(), plain_order()]));
+    request_want: envelope(Request::Demand(Some(demand(PriorityClass::Started))));
+    request_want_in_aim: envelope(Request::Demand(Some(demand(PriorityClass::OnTime))));
+    request_want_late: envelope(Request::Demand(Some(demand(PriorityClass::Late))));
+    request_want_worthless: envelope(Request::Demand(Some(demand(PriorityClass::Worthless))));
+    request_no_want: envelope(Request::Demand(None));
+    request_hand_over: envelope(Request::HandOver(vec![handed_task()]));
+    request_room: envelope(Request::FreeCapacity(load()));
+    request_offer: envelope(Request::Reservation(free()));
+    request_stop: envelope(Request::Stop { keys: vec![attempt_id()], report: true });
+    request_ended: envelope(Request::Ended(ends()));
+    request_ended_crashed: envelope(Request::Ended(crashes()));
+    request_place_alone: envelope(Request::PlaceAlone(vec![plain_order()]));
+    request_crashes: envelope(Request::Crashes(vec![CrashRecord {
+        task: attempt_id().task,
         attempt: 3,
         alone: 1,
         beside_others: 2,
         perhaps: 4,
     }]));
-    request_queues: ask(Request::Configuration);
-    request_store_news: ask(Request::StoreUpdates { after: 300 });
-    request_platform_news: ask(Request::PlatformUpdates { after: 300 });
-    reply_store_news: reply(ReplyBody::StoreUpdates(Some(store_news())));
+    request_queues: envelope(Request::Configuration);
+    request_store_news: envelope(Request::StoreUpdates { after: 300 });
+    request_platform_news: envelope(Request::PlatformUpdates { after: 300 });
+    reply_store_news: reply(ReplyBody::StoreUpdates(Some(store_update())));
     reply_platform_news: reply(ReplyBody::PlatformUpdates(Some(PlatformUpdate {
-        store: store_news(),
+        store: store_update(),
         draining: Some(DrainingUpdate { version: 301, halls: vec!["hall-b".into()] }),
     })));
     reply_no_platform_news: reply(ReplyBody::PlatformUpdates(None));
@@ -272,7 +271,7 @@
         body: Box::new(ReplyBody::Acknowledged),
     });
     reply_interested: reply(ReplyBody::Interested(true));
-    reply_queues: reply(ReplyBody::Configuration(Some(queues())));
+    reply_queues: reply(ReplyBody::Configuration(Some(configuration())));
     reply_no_queues: reply(ReplyBody::Configuration(None));
     reply_noted: reply(ReplyBody::Acknowledged);
     reply_stale: reply(ReplyBody::Stale);
