--- a/crates/dispatcher-core/tests/answers.rs
+++ b/crates/dispatcher-core/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What callers are told, and when.
+//! The answers to callers and their timing.
 
 mod support;
 
@@ -29,7 +29,7 @@
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 2_000);
     assert_eq!(rig.starts().len(), 1);
-    // The target says nothing any more: its lease ends, no other is there.
+    // The only target stops replying, and its lease expires.
     rig.pass(2_100);
     assert_eq!(rig.answer_to(1), Some(&Answer::Unfinished));
 });
@@ -48,52 +48,54 @@
     assert_eq!(rig.answer_to(1), Some(&Answer::Failed));
 });
 
-case!(what_a_peer_may_have_started_is_not_refused_as_not_run, {
-    let mut rig = Rig::new();
-    rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
-    rig.event(Event::HostsRead(vec![peer_info()]));
-    rig.pass(50);
-    rig.answer_heartbeats(16_000);
-    rig.submit(1, ID, vec![step(1, 7_000, 60)], 2_000);
-    let asked = rig.requests(|request| matches!(request, Request::Place(_)));
-    assert_eq!(asked.len(), 1);
-    rig.event(Event::PeerReply {
-        call: asked[0].0,
-        reply: Err(SendFailure::Unknown),
-    });
-    for _ in 0..250 {
-        rig.pass(10);
-        rig.answer_heartbeats(0);
-    }
-    let answer = rig.answer_to(1).expect("the job has its final answer");
-    assert!(!matches!(answer, Answer::Refused { .. }), "{answer:?}");
-});
-
 case!(
-    a_job_that_finds_no_room_is_refused_with_when_to_come_back,
+    a_job_that_a_peer_may_have_started_is_not_refused_as_not_run,
     {
-        let mut rig = Rig::holding_targets(&[target("near", 16)]);
-        rig.submit(1, ID, vec![step(2, 8_000, 3_000)], 9_000);
-        let running: Vec<_> = rig.starts().into_iter().map(|(_, _, key)| key).collect();
-        rig.submit(2, "00000000000000aa", vec![step(1, 8_000, 60)], 2_000);
-        for _ in 0..95 {
+        let mut rig = Rig::new();
+        rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
+        rig.event(Event::HostsRead(vec![peer_info()]));
+        rig.pass(50);
+        rig.answer_heartbeats(16_000);
+        rig.submit(1, ID, vec![step(1, 7_000, 60)], 2_000);
+        let asked = rig.requests(|request| matches!(request, Request::Place(_)));
+        assert_eq!(asked.len(), 1);
+        rig.event(Event::PeerReply {
+            call: asked[0].0,
+            reply: Err(SendFailure::Unknown),
+        });
+        for _ in 0..250 {
             rig.pass(10);
-            for (call, _) in rig.renewals() {
-                rig.listing(call, &running, &[]);
-            }
+            rig.answer_heartbeats(0);
         }
-        let answer = rig.answer_to(2).expect("refused before half of its time");
-        assert!(matches!(answer, Answer::Refused { retry_after_ms } if *retry_after_ms > 0));
+        let answer = rig.answer_to(1).expect("the job is answered");
+        assert!(!matches!(answer, Answer::Refused { .. }), "{answer:?}");
     }
 );
 
+case!(a_job_without_a_free_target_is_refused_with_a_retry_delay, {
+    let mut rig = Rig::holding_targets(&[target("near", 16)]);
+    rig.submit(1, ID, vec![step(2, 8_000, 3_000)], 9_000);
+    let running: Vec<_> = rig.starts().into_iter().map(|(_, _, key)| key).collect();
+    rig.submit(2, "00000000000000aa", vec![step(1, 8_000, 60)], 2_000);
+    for _ in 0..95 {
+        rig.pass(10);
+        for (call, _) in rig.renewals() {
+            rig.listing(call, &running, &[]);
+        }
+    }
+    let answer = rig
+        .answer_to(2)
+        .expect("the job is refused before half of its time");
+    assert!(matches!(answer, Answer::Refused { retry_after_ms } if *retry_after_ms > 0));
+});
+
 case!(a_job_that_no_target_could_run_is_refused_at_once, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 30_000, 60)], 3_000);
     assert!(matches!(rig.answer_to(1), Some(Answer::Refused { .. })));
 });
 
-case!(a_caller_that_leaves_has_its_attempts_stopped, {
+case!(attempts_of_a_disconnected_caller_are_stopped, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(2, 7_000, 600)], 3_000);
     let starts = rig.starts();
@@ -111,7 +113,7 @@
     assert!(rig.answers.is_empty());
 });
 
-case!(a_job_that_comes_again_is_one_job, {
+case!(a_resubmitted_job_runs_once, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
     rig.submit(2, ID, vec![step(1, 7_000, 60)], 3_000);
@@ -127,7 +129,7 @@
     }
 });
 
-case!(a_job_that_comes_again_unfinished_has_attempts_of_its_own, {
+case!(a_resubmitted_unfinished_job_uses_new_attempt_numbers, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 2_000);
     let first = rig.starts().remove(0).2;
@@ -151,14 +153,14 @@
     );
 });
 
-case!(of_two_queues_the_more_urgent_ones_tasks_go_first, {
+case!(tasks_of_the_more_urgent_queue_go_first, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let mut queues = support::queues(2);
-    let mut calm = queues.queues[0].clone();
-    calm.name = "calm".into();
-    calm.prefix = "/calm/".into();
-    calm.urgency = 2;
-    queues.queues.push(calm);
+    let mut less_urgent = queues.queues[0].clone();
+    less_urgent.name = "calm".into();
+    less_urgent.prefix = "/calm/".into();
+    less_urgent.urgency = 2;
+    queues.queues.push(less_urgent);
     rig.event(Event::ConfigurationRead(queues));
     rig.submit(1, ID, vec![step(1, 16_000, 100)], 3_000);
     let (call, _, first) = rig.starts().remove(0);
@@ -168,7 +170,7 @@
             clock: rig.now + 500_000,
         },
     );
-    // Both wait; the calm one has less time to spare.
+    // Both wait; the task of the less urgent queue has less slack.
     rig.submit_to(
         "/calm/",
         2,
@@ -192,12 +194,12 @@
     );
 });
 
-/// A host whose one target is full, and a job that waits for it since `rig.now`.
+/// Returns a host whose only target is full, with a job that has waited for it since `rig.now`.
 fn waiting_for_a_full_target() -> Rig {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 16_000, 2_000)], 6_000);
     assert_eq!(rig.starts().len(), 1);
-    // Its objective is 220 ms: it will be late after 120.
+    // Its latency objective is 220 ms, so it will be late after waiting for 120 ms.
     let waiting = vec![step(1, 16_000, 100)];
     rig.submit(2, "00000000000000b2", waiting, 3_000);
     rig
@@ -208,14 +210,14 @@
     rig.pass(100);
     rig.submit(3, "00000000000000b3", vec![step(1, 16_000, 100)], 3_000);
     rig.pass(20);
-    assert_eq!(rig.answer_to(2), None, "it can still be on time");
+    assert_eq!(rig.answer_to(2), None, "the job can still be on time");
     rig.pass(20);
-    // Before late jobs were passed over: refused after 300 ms, now after 140.
+    // Without jobs on time that wait, it would be refused after 300 ms.
     assert!(matches!(rig.answer_to(2), Some(Answer::Refused { .. })));
-    assert_eq!(rig.answer_to(3), None, "it waits on");
+    assert_eq!(rig.answer_to(3), None, "the job on time keeps waiting");
 });
 
-case!(a_late_job_waits_on_where_none_on_time_does, {
+case!(a_late_job_keeps_waiting_while_no_job_on_time_waits, {
     let mut rig = waiting_for_a_full_target();
     rig.pass(280);
     assert_eq!(rig.answer_to(2), None);
@@ -228,7 +230,7 @@
     {
         let mut rig = Rig::new();
         rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
-        // Worth something for 1,140 ms; elsewhere it is refused after 513 ms.
+        // Useful for 1,140 ms; a host that has been running longer refuses it after 513 ms.
         rig.submit(1, ID, vec![step(1, 7_000, 200)], 3_000);
         rig.pass(600);
         assert_eq!(rig.answer_to(1), None);
@@ -237,11 +239,11 @@
         let renewal = rig.renewals().pop();
         let (call, _) = renewal.expect("the target is being acquired");
         rig.listing(call, &[], &[]);
-        assert_eq!(rig.starts().len(), 2, "one of them late, but served");
+        assert_eq!(rig.starts().len(), 2, "both jobs start, though one is late");
     }
 );
 
-case!(a_host_that_just_started_refuses_what_is_worth_nothing, {
+case!(a_host_that_just_started_refuses_useless_jobs, {
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
     rig.submit(1, ID, vec![step(1, 7_000, 200)], 3_000);
--- a/crates/dispatcher-core/tests/draining.rs
+++ b/crates/dispatcher-core/tests/draining.rs
@@ -1,4 +1,4 @@
-//! Halls that the operator empties: what starts there, and what becomes of jobs.
+//! Draining halls: no new tasks start in them, and jobs that need them end.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-/// Drains halls, all others serve.
+/// Drains the given halls and no others.
 fn drain(rig: &mut Rig, version: u64, halls: &[&str]) {
     let halls = halls.iter().map(|hall| (*hall).into()).collect();
     rig.event(Event::DrainingHallsRead { version, halls });
@@ -25,7 +25,8 @@
     }
 }
 
-/// A host of the north hall that holds a target there; the south hall has one as well.
+/// Returns a host of the north hall that holds a target there; a peer is in the south hall, which
+/// has a target too.
 fn north_and_south() -> Rig {
     let mut south = peer_info();
     south.hall = "south".into();
@@ -50,10 +51,10 @@
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
     rig.pass(60);
     assert!(rig.starts().is_empty());
-    assert_eq!(rig.answer_to(1), None, "the other hall may run it");
+    assert_eq!(rig.answer_to(1), None, "the other hall could run it");
 });
 
-case!(a_hall_that_is_taken_back_serves_at_once, {
+case!(a_hall_that_stops_draining_serves_at_once, {
     let mut rig = north_and_south();
     drain(&mut rig, 5, &["north"]);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
@@ -69,33 +70,30 @@
     assert_eq!(rig.starts().len(), 1);
 });
 
-case!(
-    what_runs_in_a_draining_hall_goes_on_but_is_not_tried_again,
-    {
-        let mut rig = north_and_south();
-        rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
-        rig.idle_targets_answer();
-        let (call, _, key) = rig.starts().remove(0);
-        let clock = rig.now + 500_000;
-        rig.target_reply(call, TargetReply::Accepted { clock });
-        drain(&mut rig, 5, &["north"]);
-        rig.pass(40);
-        assert!(rig.stops().is_empty());
-        for (call, _) in rig.renewals() {
-            rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Failed)]);
-        }
-        rig.pass(40);
-        assert!(rig.starts().is_empty());
+case!(attempts_in_a_draining_hall_continue_but_are_not_retried, {
+    let mut rig = north_and_south();
+    rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
+    rig.idle_targets_answer();
+    let (call, _, key) = rig.starts().remove(0);
+    let clock = rig.now + 500_000;
+    rig.target_reply(call, TargetReply::Accepted { clock });
+    drain(&mut rig, 5, &["north"]);
+    rig.pass(40);
+    assert!(rig.stops().is_empty());
+    for (call, _) in rig.renewals() {
+        rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Failed)]);
     }
-);
+    rig.pass(40);
+    assert!(rig.starts().is_empty());
+});
 
 case!(a_peers_tasks_are_not_started_in_a_draining_hall, {
     let mut rig = north_and_south();
     drain(&mut rig, 5, &["north"]);
     rig.peer_asks(1, Request::Place(vec![order("0123456789abcdef.0.0.0", 60)]));
-    let (_, reply) = rig.replies.last().expect("it replies");
+    let (_, reply) = rig.replies.last().expect("a reply");
     assert!(matches!(&reply.body, ReplyBody::Placed(started) if started.is_empty()));
-    assert!(reply.free.is_empty(), "nothing is advertised");
+    assert!(reply.free.is_empty(), "no free resources are advertised");
     assert!(rig.starts().is_empty());
 });
 
@@ -132,18 +130,18 @@
     assert_eq!(rig.answer_to(1), Some(&refused));
 });
 
-case!(jobs_that_wait_are_refused_at_once_when_all_halls_drain, {
+case!(waiting_jobs_are_refused_at_once_when_all_halls_drain, {
     let mut rig = north_and_south();
-    // The first fills the target, the second waits.
+    // The first job fills the target, the second one waits.
     rig.submit(1, ID, vec![step(2, 8_000, 200)], 3_000);
     rig.submit(2, "00000000000000a2", vec![step(1, 8_000, 200)], 3_000);
     drain(&mut rig, 5, &["north", "south"]);
     let answer = rig.answer_to(2);
     assert!(matches!(answer, Some(Answer::Refused { .. })), "{answer:?}");
-    assert_eq!(rig.answer_to(1), None, "what runs goes on");
+    assert_eq!(rig.answer_to(1), None, "the running job continues");
 });
 
-case!(a_begun_job_ends_as_soon_as_it_can_go_on_nowhere, {
+case!(a_started_job_ends_once_it_can_continue_nowhere, {
     let mut rig = north_and_south();
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
     rig.idle_targets_answer();
@@ -152,7 +150,7 @@
     rig.target_reply(call, TargetReply::Accepted { clock });
     drain(&mut rig, 5, &["north", "south"]);
     rig.pass(20);
-    assert_eq!(rig.answer_to(1), None, "it runs");
+    assert_eq!(rig.answer_to(1), None, "the job is still running");
     for (call, _) in rig.renewals() {
         rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Failed)]);
     }
@@ -160,7 +158,7 @@
     assert_eq!(rig.answer_to(1), Some(&Answer::Unfinished));
 });
 
-case!(demands_go_to_hosts_of_halls_that_serve, {
+case!(demands_are_sent_to_hosts_of_serving_halls, {
     let mut rig = Rig::new();
     let host = |number: u16, hall: &str| HostInfo {
         name: format!("peer-{number}").into(),
@@ -197,12 +195,12 @@
     assert_eq!(halls.replace(6, Vec::new()), []);
     assert_eq!(halls.apply(6, &[change("a", false)]), []);
     assert!(halls.halls().contains("a"));
-    // What was known already is no news.
+    // A hall that is draining already isn't a change.
     assert_eq!(halls.replace(7, vec!["a".into()]), []);
-    // Taken back and drained again within one page of changes.
+    // A hall stops draining and is drained again within one page of changes.
     let twice = [change("a", false), change("b", true), change("a", true)];
     assert_eq!(halls.apply(9, &twice), [change("b", true)]);
-    // History is gone: the whole list tells what is no longer there.
+    // The whole set replaces a lost history of changes.
     assert_eq!(halls.replace(12, vec!["b".into()]), [change("a", false)]);
     assert_eq!(halls.version(), Some(12));
 });
--- a/crates/dispatcher-core/tests/stopping.rs
+++ b/crates/dispatcher-core/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! A stop in order.
+//! The graceful shutdown of a host.
 
 mod support;
 
@@ -8,18 +8,18 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-case!(a_stopping_host_takes_what_it_can_still_end, {
+case!(a_stopping_host_accepts_only_jobs_that_it_can_finish, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.event(Event::Stop { age_ms: 0 });
     rig.pass(3_000);
-    // 2.5 s are left: enough for a short job, not for a long one.
+    // The remaining 2.5 s suffice for the short job, not for the long one.
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
     rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 1_600)], 9_000);
     assert_eq!(rig.answer_to(1), None);
     assert!(matches!(rig.answer_to(2), Some(Answer::Refused { .. })));
 });
 
-case!(a_stopping_host_ends_what_it_has_and_then_stops, {
+case!(a_stopping_host_finishes_its_jobs_and_then_stops, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 6_000);
     let (call, _, key) = rig.starts().remove(0);
@@ -32,7 +32,7 @@
             rig.listing(call, std::slice::from_ref(&key), &[]);
         }
     }
-    assert!(!rig.stopped, "its job still runs");
+    assert!(!rig.stopped, "its job is still running");
     rig.pass(10);
     let (call, _) = rig.renewals().remove(0);
     rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Done)]);
@@ -41,7 +41,7 @@
     assert!(rig.stopped);
 });
 
-case!(a_stopping_host_that_is_alone_goes_on_with_its_targets, {
+case!(a_stopping_host_without_peers_still_starts_its_tasks, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.submit(1, ID, vec![step(3, 7_000, 300)], 6_000);
     let starts = rig.starts();
@@ -58,11 +58,11 @@
     assert_eq!(
         rig.starts().len(),
         1,
-        "nobody else could start the last task"
+        "no other host could start the last task"
     );
 });
 
-case!(a_stop_while_the_host_stood_still_counts_from_then, {
+case!(the_grace_period_includes_the_age_of_the_stop_request, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     rig.pass(5_000);
     for (call, _) in rig.renewals() {
@@ -72,7 +72,7 @@
     let (call, _, key) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
     rig.target_reply(call, TargetReply::Accepted { clock });
-    // Of 6 s of grace 1 s is left, half of it for the last answers.
+    // Of the grace period of 6 s, 1 s is left, half of it for the last answers.
     rig.event(Event::Stop { age_ms: 5_000 });
     for _ in 0..7 {
         rig.pass(70);
@@ -80,7 +80,7 @@
             rig.listing(call, std::slice::from_ref(&key), &[]);
         }
     }
-    assert!(!rig.stopped, "its job still runs");
+    assert!(!rig.stopped, "its job is still running");
     rig.pass(20);
     assert!(rig.stopped);
     assert!(rig.answer_to(1).is_some());
--- a/crates/dispatcher-core/tests/store_updates.rs
+++ b/crates/dispatcher-core/tests/store_updates.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform's store, and what the others are told and believe.
+//! Readers of the platform's store, and the updates that other hosts receive from them.
 
 mod support;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Hosts of two halls; the first two of each have the most processor time.
+/// Returns hosts of two halls; the first two of each have the most processor time.
 fn two_halls() -> Vec<HostInfo> {
     let weight = |number| if number < 2 { 2_000 } else { 100 };
     let north = (0..6).map(|number| host(number, "north", weight(number)));
@@ -29,28 +29,28 @@
     north.chain(south).collect()
 }
 
-/// A host of the north hall, with less processor time than its readers, that has read the
-/// store up to version 10 and found one target.
-fn told_host() -> Rig {
+/// Returns a host of the north hall that isn't one of its readers, and knows version 10 of the
+/// store with one target.
+fn host_with_updates() -> Rig {
     let mut rig = Rig::new();
-    // Right after its start a host takes no entry that is missing for gone.
+    // Right after its start, a host doesn't treat missing entries as removed.
     rig.pass(2_000);
     rig.event(Event::HostsRead(two_halls()));
     rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
-    answered(&mut rig, 10);
-    hear_all(&mut rig, 400);
+    store_answered(&mut rig, 10);
+    pass_with_heartbeats(&mut rig, 400);
     rig
 }
 
-/// Lets time pass while all peers answer heartbeats.
-fn hear_all(rig: &mut Rig, ms: Millis) {
+/// Advances the time while all peers answer heartbeats.
+fn pass_with_heartbeats(rig: &mut Rig, ms: Millis) {
     for _ in 0..ms / 20 {
         rig.pass(20);
         rig.answer_heartbeats(0);
     }
 }
 
-fn answered(rig: &mut Rig, version: u64) {
+fn store_answered(rig: &mut Rig, version: u64) {
     for table in [StoreTable::Targets, StoreTable::Configuration] {
         rig.event(Event::StoreAnswered {
             table,
@@ -60,7 +60,7 @@
     }
 }
 
-fn news(version: u64, age_ms: u64, list: TargetListUpdate) -> StoreUpdate {
+fn update(version: u64, age_ms: u64, list: TargetListUpdate) -> StoreUpdate {
     StoreUpdate {
         targets_version: version,
         configuration_version: version,
@@ -71,12 +71,12 @@
     }
 }
 
-/// Takes the questions for news, each with the name of whom it went to.
-fn questions(rig: &mut Rig) -> Vec<(CallId, String, u64)> {
+/// Takes the requests for updates, each with the peer's name and the known version.
+fn update_requests(rig: &mut Rig) -> Vec<(CallId, String, u64)> {
     let asked = rig.requests(|request| matches!(request, Request::PlatformUpdates { .. }));
     let asked = asked.into_iter().map(|(call, envelope)| {
         let Request::PlatformUpdates { after } = envelope.request else {
-            panic!("it asks for news");
+            panic!("not a request for updates");
         };
         let number = rig.addresses[&call].port() - 100;
         (call, format!("peer-{number}"), after)
@@ -84,16 +84,16 @@
     asked.collect()
 }
 
-/// Tells the host news, and that no hall is draining.
-fn tell(rig: &mut Rig, call: CallId, news: StoreUpdate) {
+/// Replies with an update and no draining hall.
+fn reply_with_update(rig: &mut Rig, call: CallId, news: StoreUpdate) {
     let draining = Some(DrainingUpdate {
         version: news.configuration_version,
         halls: Vec::new(),
     });
-    tell_platform_news(rig, call, news, draining);
+    reply_with_platform_update(rig, call, news, draining);
 }
 
-fn tell_platform_news(
+fn reply_with_platform_update(
     rig: &mut Rig,
     call: CallId,
     store: StoreUpdate,
@@ -104,24 +104,24 @@
     rig.event(Event::PeerReply { call, reply });
 }
 
-/// Lets time pass until the host asks, and answers it.
-fn tell_next(rig: &mut Rig, news: StoreUpdate) -> String {
+/// Advances the time until the host requests an update, replies to it and returns the peer's name.
+fn reply_to_next_request(rig: &mut Rig, news: StoreUpdate) -> String {
     for _ in 0..100 {
         rig.pass(10);
         rig.answer_heartbeats(0);
-        if let Some((call, name, _)) = questions(rig).pop() {
-            tell(rig, call, news);
+        if let Some((call, name, _)) = update_requests(rig).pop() {
+            reply_with_update(rig, call, news);
             return name;
         }
     }
-    panic!("it asks");
+    panic!("no update is requested");
 }
 
-fn known(rig: &Rig) -> usize {
+fn known_targets(rig: &Rig) -> usize {
     rig.host.counts(rig.now).targets_known
 }
 
-fn there(id: &str) -> TargetChange {
+fn listed(id: &str) -> TargetChange {
     TargetChange::Listed(target(id, 16))
 }
 
@@ -130,13 +130,17 @@
     TargetListUpdate::Whole(entries)
 }
 
-case!(the_hosts_with_the_most_processor_time_read, {
+case!(the_hosts_with_the_most_processor_time_read_the_store, {
     let hosts = two_halls();
     let mut names = readers(&hosts, "north");
     names.sort();
     assert_eq!(names, ["peer-0".into(), "peer-1".into()]);
     let few: Vec<HostInfo> = hosts.into_iter().take(4).collect();
-    assert_eq!(readers(&few, "north"), [], "each of few reads for itself");
+    assert_eq!(
+        readers(&few, "north"),
+        [],
+        "in a small hall each host reads for itself"
+    );
 });
 
 case!(all_readers_of_all_halls_are_asked_in_turn, {
@@ -154,13 +158,13 @@
     assert_eq!(reader_to_ask(&[], &own, 3), None);
 });
 
-case!(a_host_that_is_told_does_not_read, {
-    let mut rig = told_host();
+case!(a_host_with_updates_from_peers_does_not_read_the_store, {
+    let mut rig = host_with_updates();
     assert_eq!(rig.host.store_reading(rig.now), StoreReading::FromPeers);
     for version in 11..31 {
-        let asked = tell_next(
+        let asked = reply_to_next_request(
             &mut rig,
-            news(version, 0, TargetListUpdate::Changes(Vec::new())),
+            update(version, 0, TargetListUpdate::Changes(Vec::new())),
         );
         assert!(["peer-0", "peer-1"].contains(&&*asked), "{asked}");
         assert_eq!(rig.host.store_reading(rig.now), StoreReading::FromPeers);
@@ -168,52 +172,52 @@
     assert_eq!(rig.host.store_version(StoreTable::Targets), 30);
 });
 
-case!(what_changed_is_told, {
-    let mut rig = told_host();
-    let changes = TargetListUpdate::Changes(vec![there("b"), there("c")]);
-    tell_next(&mut rig, news(11, 0, changes));
-    assert_eq!(known(&rig), 3);
+case!(changes_received_from_a_peer_are_applied, {
+    let mut rig = host_with_updates();
+    let changes = TargetListUpdate::Changes(vec![listed("b"), listed("c")]);
+    reply_to_next_request(&mut rig, update(11, 0, changes));
+    assert_eq!(known_targets(&rig), 3);
     let gone = TargetListUpdate::Changes(vec![TargetChange::Removed("b".into())]);
-    tell_next(&mut rig, news(12, 0, gone));
+    reply_to_next_request(&mut rig, update(12, 0, gone));
     rig.pass(100);
-    assert_eq!(known(&rig), 2);
+    assert_eq!(known_targets(&rig), 2);
 });
 
-case!(a_told_list_never_goes_back, {
-    let mut rig = told_host();
-    tell_next(&mut rig, news(12, 0, whole(&["a", "b"])));
-    tell_next(&mut rig, news(11, 0, whole(&["a"])));
+case!(an_older_list_from_a_peer_is_ignored, {
+    let mut rig = host_with_updates();
+    reply_to_next_request(&mut rig, update(12, 0, whole(&["a", "b"])));
+    reply_to_next_request(&mut rig, update(11, 0, whole(&["a"])));
     rig.pass(100);
-    assert_eq!(known(&rig), 2);
+    assert_eq!(known_targets(&rig), 2);
     assert_eq!(rig.host.store_version(StoreTable::Targets), 12);
 });
 
-case!(a_host_that_nobody_tells_reads_for_itself, {
-    let mut rig = told_host();
-    hear_all(&mut rig, 1_200);
+case!(a_host_without_updates_from_peers_reads_the_store, {
+    let mut rig = host_with_updates();
+    pass_with_heartbeats(&mut rig, 1_200);
     assert_eq!(rig.host.store_reading(rig.now), StoreReading::Stale);
-    answered(&mut rig, 11);
+    store_answered(&mut rig, 11);
     assert_eq!(rig.host.store_reading(rig.now), StoreReading::FromPeers);
 });
 
-case!(a_reader_that_lies_behind_is_not_believed_for_long, {
-    let mut rig = told_host();
+case!(outdated_updates_from_peers_make_a_host_read_the_store, {
+    let mut rig = host_with_updates();
     for _ in 0..4 {
-        tell_next(
+        reply_to_next_request(
             &mut rig,
-            news(10, 1_000, TargetListUpdate::Changes(Vec::new())),
+            update(10, 1_000, TargetListUpdate::Changes(Vec::new())),
         );
     }
     assert_eq!(rig.host.store_reading(rig.now), StoreReading::Stale);
 });
 
-case!(a_reader_that_knows_nothing_new_is_passed_over, {
-    let mut rig = told_host();
+case!(other_readers_are_asked_after_outdated_updates, {
+    let mut rig = host_with_updates();
     let mut asked = Vec::new();
     for _ in 0..8 {
-        asked.push(tell_next(
+        asked.push(reply_to_next_request(
             &mut rig,
-            news(10, 2_000, TargetListUpdate::Changes(Vec::new())),
+            update(10, 2_000, TargetListUpdate::Changes(Vec::new())),
         ));
     }
     asked.sort();
@@ -222,55 +226,59 @@
 });
 
 case!(
-    a_host_that_the_store_turns_away_from_its_start_is_told_all,
+    a_host_without_store_access_since_its_start_gets_the_whole_list,
     {
         let mut rig = Rig::new();
         rig.event(Event::HostsRead(two_halls()));
         rig.event(Event::StoreReachable(false));
-        hear_all(&mut rig, 400);
-        let (call, _, after) = questions(&mut rig).pop().expect("it asks");
-        assert_eq!(after, 0, "for all");
-        // Old news is better than none.
-        tell(&mut rig, call, news(10, 60, whole(&["a", "b", "c"])));
-        assert_eq!(known(&rig), 3);
+        pass_with_heartbeats(&mut rig, 400);
+        let (call, _, after) = update_requests(&mut rig)
+            .pop()
+            .expect("an update is requested");
+        assert_eq!(after, 0, "the whole list is requested");
+        // An outdated list is better than none.
+        reply_with_update(&mut rig, call, update(10, 60, whole(&["a", "b", "c"])));
+        assert_eq!(known_targets(&rig), 3);
     }
 );
 
-case!(a_reader_tells_what_changed_since, {
+case!(a_reader_sends_the_changes_after_a_version, {
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(
         vec![target("a", 16), target("b", 16)].into(),
     ));
-    answered(&mut rig, 10);
-    // A row that says nothing new isn't told.
-    rig.event(Event::TargetsChanged(vec![there("a"), there("c")]));
-    answered(&mut rig, 11);
+    store_answered(&mut rig, 10);
+    // A change without effect isn't sent.
+    rig.event(Event::TargetsChanged(vec![listed("a"), listed("c")]));
+    store_answered(&mut rig, 11);
     rig.now += 40;
     for (request, after) in [(1, 10), (2, 11), (3, 0)] {
         rig.peer_asks(request, Request::StoreUpdates { after });
     }
-    let told: Vec<StoreUpdate> = rig
+    let updates: Vec<StoreUpdate> = rig
         .replies
         .iter()
         .map(|(_, reply)| match &reply.body {
             ReplyBody::StoreUpdates(Some(news)) => news.clone(),
-            other => panic!("it tells: {other:?}"),
+            other => panic!("no update: {other:?}"),
         })
         .collect();
-    let lengths: Vec<usize> = told
+    let lengths: Vec<usize> = updates
         .iter()
         .map(|news| match &news.list {
             TargetListUpdate::Whole(entries) => 100 + entries.len(),
             TargetListUpdate::Changes(changes) => changes.len(),
-            TargetListUpdate::WholeWithUnusable(list) => panic!("none is unusable: {list:?}"),
+            TargetListUpdate::WholeWithUnusable(list) => {
+                panic!("unexpected unusable entries: {list:?}")
+            }
         })
         .collect();
     assert_eq!(lengths, [1, 0, 103]);
-    assert!(told.iter().all(|news| news.targets_version == 11));
-    assert!(told.iter().all(|news| news.age_ms == 40));
+    assert!(updates.iter().all(|news| news.targets_version == 11));
+    assert!(updates.iter().all(|news| news.age_ms == 40));
 });
 
-case!(a_host_that_knows_nothing_says_so, {
+case!(a_host_without_known_tables_sends_no_update, {
     let mut rig = Rig::new();
     rig.peer_asks(1, Request::StoreUpdates { after: 0 });
     let body = &rig.replies[0].1.body;
@@ -278,55 +286,60 @@
 });
 
 case!(
-    a_newer_configuration_is_asked_of_the_host_that_told_of_it,
+    a_newer_configuration_is_requested_from_the_peer_that_reported_it,
     {
-        let mut rig = told_host();
-        let mut newer = news(11, 0, TargetListUpdate::Changes(Vec::new()));
+        let mut rig = host_with_updates();
+        let mut newer = update(11, 0, TargetListUpdate::Changes(Vec::new()));
         newer.in_force = 2;
-        tell_next(&mut rig, newer);
+        reply_to_next_request(&mut rig, newer);
         let asked = rig.requests(|request| matches!(request, Request::Configuration));
         assert_eq!(asked.len(), 1);
-        // Until it has come, this host doesn't say that it knows the store up to here.
+        // Until the configuration arrives, the table isn't known up to this version.
         assert_eq!(rig.host.store_version(StoreTable::Configuration), 10);
     }
 );
 
-case!(a_host_that_only_just_knows_the_list_tells_it_whole, {
+case!(a_host_without_earlier_changes_sends_the_whole_list, {
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
-    answered(&mut rig, 10);
-    // Whoever knew version 9 may know targets that are gone since.
+    store_answered(&mut rig, 10);
+    // A host that knows version 9 may know targets that were removed since.
     rig.peer_asks(1, Request::StoreUpdates { after: 9 });
     let ReplyBody::StoreUpdates(Some(news)) = &rig.replies[0].1.body else {
-        panic!("it tells");
+        panic!("no update");
     };
     assert!(matches!(&news.list, TargetListUpdate::Whole(entries) if entries.len() == 1));
 });
 
 case!(
-    what_is_told_while_the_store_turns_a_host_away_is_believed,
+    updates_from_peers_are_applied_while_the_store_is_unreachable,
     {
-        let mut rig = told_host();
+        let mut rig = host_with_updates();
         rig.event(Event::StoreReachable(false));
         let gone = TargetListUpdate::Changes(vec![TargetChange::Removed("a".into())]);
-        let mut unsettled = news(11, 0, gone);
+        let mut unsettled = update(11, 0, gone);
         unsettled.settled = false;
-        tell_next(&mut rig, unsettled);
+        reply_to_next_request(&mut rig, unsettled);
         rig.pass(100);
-        assert_eq!(known(&rig), 1, "entries may come back");
-        tell_next(&mut rig, news(12, 0, TargetListUpdate::Changes(Vec::new())));
+        assert_eq!(known_targets(&rig), 1, "the entry may reappear");
+        reply_to_next_request(
+            &mut rig,
+            update(12, 0, TargetListUpdate::Changes(Vec::new())),
+        );
         rig.pass(100);
-        assert_eq!(known(&rig), 0);
+        assert_eq!(known_targets(&rig), 0);
     }
 );
 
-/// A host of the north hall that was told that the south hall is draining.
-fn told_of_south(draining: Option<DrainingUpdate>) -> Rig {
-    let mut rig = told_host();
+/// Returns a host of the north hall after an update at version 11 with the given draining halls.
+fn host_with_draining_update(draining: Option<DrainingUpdate>) -> Rig {
+    let mut rig = host_with_updates();
     rig.pass(400);
-    let (call, _, _) = questions(&mut rig).pop().expect("it asks");
-    let store = news(11, 0, TargetListUpdate::Changes(Vec::new()));
-    tell_platform_news(&mut rig, call, store, draining);
+    let (call, _, _) = update_requests(&mut rig)
+        .pop()
+        .expect("an update is requested");
+    let store = update(11, 0, TargetListUpdate::Changes(Vec::new()));
+    reply_with_platform_update(&mut rig, call, store, draining);
     rig
 }
 
@@ -334,100 +347,107 @@
     rig.host.counts(rig.now).halls_draining
 }
 
-case!(draining_halls_are_told, {
+case!(draining_halls_are_passed_on, {
     let south = DrainingUpdate {
         version: 11,
         halls: vec!["south".into()],
     };
-    let mut rig = told_of_south(Some(south.clone()));
+    let mut rig = host_with_draining_update(Some(south.clone()));
     assert_eq!(halls_draining(&rig), 1);
     assert_eq!(rig.host.store_version(StoreTable::Configuration), 11);
     rig.peer_asks(1, Request::PlatformUpdates { after: 11 });
-    let ReplyBody::PlatformUpdates(Some(told)) = &rig.replies[0].1.body else {
-        panic!("it tells");
+    let ReplyBody::PlatformUpdates(Some(reply)) = &rig.replies[0].1.body else {
+        panic!("no update");
     };
-    assert_eq!(told.draining, Some(south));
+    assert_eq!(reply.draining, Some(south));
 });
 
-case!(told_halls_never_go_back, {
-    let mut rig = told_of_south(Some(DrainingUpdate {
+case!(older_draining_halls_are_ignored, {
+    let mut rig = host_with_draining_update(Some(DrainingUpdate {
         version: 11,
         halls: vec!["south".into()],
     }));
-    // A reader that lies behind tells of the time before.
-    tell_next(&mut rig, news(10, 0, TargetListUpdate::Changes(Vec::new())));
+    // An outdated reader doesn't know that the hall is draining.
+    reply_to_next_request(
+        &mut rig,
+        update(10, 0, TargetListUpdate::Changes(Vec::new())),
+    );
     assert_eq!(halls_draining(&rig), 1);
-    // So does the answer to a read that was on its way meanwhile.
+    // Nor does the delayed answer to an earlier read.
     rig.event(Event::DrainingHallsRead {
         version: 10,
         halls: Vec::new(),
     });
     assert_eq!(halls_draining(&rig), 1);
-    tell_next(&mut rig, news(12, 0, TargetListUpdate::Changes(Vec::new())));
+    reply_to_next_request(
+        &mut rig,
+        update(12, 0, TargetListUpdate::Changes(Vec::new())),
+    );
     assert_eq!(halls_draining(&rig), 0);
 });
 
 case!(
     the_table_counts_as_known_no_further_than_its_draining_halls,
     {
-        // A host that would read on from version 11 would never hear of a hall drained
-        // before that.
-        let rig = told_of_south(None);
+        // A host that continued reading from version 11 would miss a hall drained before it.
+        let rig = host_with_draining_update(None);
         assert_eq!(rig.host.store_version(StoreTable::Targets), 11);
         assert_eq!(rig.host.store_version(StoreTable::Configuration), 10);
     }
 );
 
-case!(a_host_of_an_earlier_release_gets_the_reply_it_knows, {
-    let mut rig = told_of_south(Some(DrainingUpdate {
-        version: 11,
-        halls: vec!["south".into()],
-    }));
-    rig.peer_asks(1, Request::StoreUpdates { after: 11 });
-    let body = &rig.replies[0].1.body;
-    assert!(matches!(body, ReplyBody::StoreUpdates(Some(_))), "{body:?}");
-});
-
 case!(
-    a_host_of_an_earlier_release_that_does_not_tell_is_passed_over,
+    a_host_of_an_earlier_release_gets_a_reply_that_it_can_decode,
     {
-        let mut rig = told_host();
-        let mut asked = Vec::new();
-        for _ in 0..200 {
-            rig.pass(10);
-            rig.answer_heartbeats(0);
-            for (call, name, _) in questions(&mut rig) {
-                asked.push(name);
-                let reply = Err(SendFailure::Unknown);
-                rig.event(Event::PeerReply { call, reply });
-            }
-        }
-        asked.sort();
-        asked.dedup();
-        assert!(asked.len() >= 4, "{asked:?}");
-        assert_eq!(rig.host.store_reading(rig.now), StoreReading::Stale);
+        let mut rig = host_with_draining_update(Some(DrainingUpdate {
+            version: 11,
+            halls: vec!["south".into()],
+        }));
+        rig.peer_asks(1, Request::StoreUpdates { after: 11 });
+        let body = &rig.replies[0].1.body;
+        assert!(matches!(body, ReplyBody::StoreUpdates(Some(_))), "{body:?}");
     }
 );
 
+case!(other_readers_are_asked_after_requests_without_reply, {
+    let mut rig = host_with_updates();
+    let mut asked = Vec::new();
+    for _ in 0..200 {
+        rig.pass(10);
+        rig.answer_heartbeats(0);
+        for (call, name, _) in update_requests(&mut rig) {
+            asked.push(name);
+            let reply = Err(SendFailure::Unknown);
+            rig.event(Event::PeerReply { call, reply });
+        }
+    }
+    asked.sort();
+    asked.dedup();
+    assert!(asked.len() >= 4, "{asked:?}");
+    assert_eq!(rig.host.store_reading(rig.now), StoreReading::Stale);
+});
+
 case!(
-    an_answer_that_was_overtaken_by_newer_news_has_them_told_again,
+    a_delayed_answer_of_the_store_has_newer_changes_requested_again,
     {
-        let mut rig = told_host();
+        let mut rig = host_with_updates();
         let mut leaving = target("a", 16);
         leaving.leaving = true;
         let newer = TargetListUpdate::Changes(vec![TargetChange::Listed(leaving)]);
-        tell_next(&mut rig, news(12, 0, newer));
-        // A read of the store was on its way meanwhile.
-        rig.event(Event::TargetsChanged(vec![there("a")]));
+        reply_to_next_request(&mut rig, update(12, 0, newer));
+        // The delayed answer to an earlier read of the store.
+        rig.event(Event::TargetsChanged(vec![listed("a")]));
         rig.event(Event::StoreAnswered {
             table: StoreTable::Targets,
             version: 11,
             age_ms: 0,
         });
-        // Before, reading went on after version 12, and the target never left here.
+        // Otherwise the change at version 12, that the target is leaving, would be lost.
         assert_eq!(rig.host.store_version(StoreTable::Targets), 11);
         rig.pass(400);
-        let (_, _, after) = questions(&mut rig).pop().expect("it asks");
+        let (_, _, after) = update_requests(&mut rig)
+            .pop()
+            .expect("an update is requested");
         assert_eq!(after, 11);
     }
 );
