--- a/crates/dispatcher-core/tests/arrival.rs
+++ b/crates/dispatcher-core/tests/arrival.rs
@@ -6,7 +6,7 @@
 use gannetridge_dispatcher_core::decision::{EndCause, Forecast};
 use gannetridge_dispatcher_core::message::{PoolLoad, WaitingWork};
 use gannetridge_dispatcher_core::rules::arrival::{decide, Arrival, ArrivingJob, KnownPoolLoad};
-use gannetridge_dispatcher_core::rules::giving_up::{end_cause, is_passed_over, OpenJob};
+use gannetridge_dispatcher_core::rules::giving_up::{self, is_passed_over, OpenJob};
 use gannetridge_dispatcher_core::settings::WaitingOrder;
 use gannetridge_dispatcher_core::{Answer, Event, Millis, Scheduling, Settings};
 use support::{case, queues, settings, step, target, Rig};
@@ -37,7 +37,7 @@
 
 /// Decides on a job of urgency 1 that takes 10 ms of a holder, has 100 ms of slack and whose
 /// answer has a value for 600 ms.
-fn decide_job(pool: &KnownPoolLoad, id: &str, has_room: bool) -> Arrival {
+fn decide_job(pool: &KnownPoolLoad, id: &str, has_free_target: bool) -> Arrival {
     let job = ArrivingJob {
         id: &id.into(),
         urgency: 1,
@@ -45,7 +45,7 @@
         chain_ms: 100,
         objective_ms: 200,
         deadline_ms: 1_500,
-        has_free_target: has_room,
+        has_free_target,
     };
     decide(pool, &job)
 }
@@ -137,15 +137,15 @@
 
 /// Returns why a job is given up that was accepted at 0, has waited until `now` and whose
 /// answer has a value until 600.
-fn end_cause(now: Millis, passed_over: bool, has_room: bool) -> Option<EndCause> {
-    end_cause_with_deadline(1_500, now, passed_over, has_room)
+fn end_cause(now: Millis, passed_over: bool, has_free_target: bool) -> Option<EndCause> {
+    end_cause_with_deadline(1_500, now, passed_over, has_free_target)
 }
 
 fn end_cause_with_deadline(
     deadline: Millis,
     now: Millis,
     passed_over: bool,
-    has_room: bool,
+    has_free_target: bool,
 ) -> Option<EndCause> {
     let job = OpenJob {
         accepted: 0,
@@ -154,10 +154,10 @@
         may_have_started: false,
         is_running: false,
         passed_over,
-        has_free_target: has_room,
+        has_free_target,
         host_is_starting: false,
     };
-    end_cause(now, &job, [100].into_iter())
+    giving_up::end_cause(now, &job, [100].into_iter())
 }
 
 case!(lack_of_capacity_is_no_cause_while_free_capacity_is_known, {
