--- a/crates/dispatcher-sim/src/checks.rs
+++ b/crates/dispatcher-sim/src/checks.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// No task runs twice at the same time.
-    NotTwice,
+    NoConcurrentRuns,
     /// No target runs more than it has resources for.
     Capacity,
     /// A target that has been leaving for long gets no task.
@@ -19,22 +19,22 @@
     /// A hall that has been draining for long gets no task.
     Draining,
     /// A hall that was taken back serves again.
-    TakenBack,
+    ServiceAfterDrain,
     /// A job is answered as completed only with all its tasks done.
-    CompletedWhole,
+    CompletedJobsDone,
     /// A job is answered as failed only with a task that failed as often as allowed, or under
     /// which two targets crashed.
-    FailedTruly,
+    FailuresJustified,
     /// A task under which three targets crashed isn't started three times more.
-    NotCrashedOn,
+    CrashingTasksNotRestarted,
     /// A caller has its answer in the time that it waits.
     AnsweredInTime,
     /// A host serves again when nothing is harmed any more.
     Recovery,
     /// Nothing of a job that was refused as not run has started.
-    RefusedTruly,
+    RefusedJobsNotStarted,
     /// No end is acknowledged that its target never listed.
-    EndsHeard,
+    AcknowledgedEndsListed,
 }
 
 /// A rule that was broken.
@@ -45,7 +45,7 @@
     /// Which.
     pub rule: Rule,
     /// The job, task or target.
-    pub what: String,
+    pub details: String,
 }
 
 /// Targets that crashed under a task, and its starts after the third of them.
@@ -56,9 +56,9 @@
 }
 
 #[derive(Debug, Default)]
-struct JobSeen {
+struct JobRecord {
     started: bool,
-    not_refused: bool,
+    maybe_not_refused: bool,
     refused: bool,
     failures: BTreeMap<Name, u32>,
     crashes: BTreeMap<Name, Crashes>,
@@ -69,59 +69,65 @@
 #[derive(Debug, Default)]
 pub struct Checks {
     running: BTreeMap<Name, BTreeSet<(Name, u32)>>,
-    jobs: BTreeMap<Name, JobSeen>,
+    jobs: BTreeMap<Name, JobRecord>,
     /// What was broken.
     pub violations: Vec<Violation>,
     /// Starts seen.
     pub starts: u64,
 }
 
-fn job_of(task: &Name) -> Name {
+fn job_id_of(task: &Name) -> Name {
     task.split('.').next().unwrap_or_default().into()
 }
 
 impl Checks {
-    fn broken(&mut self, at: Millis, rule: Rule, what: impl Into<String>) {
-        let what = what.into();
-        self.violations.push(Violation { at, rule, what });
+    fn record_violation(&mut self, at: Millis, rule: Rule, details: impl Into<String>) {
+        let details = details.into();
+        self.violations.push(Violation { at, rule, details });
     }
 
     /// Records that an attempt has begun.
-    pub fn started(&mut self, at: Millis, target: &Name, key: &AttemptId, over_capacity: bool) {
+    pub fn record_start(
+        &mut self,
+        at: Millis,
+        target: &Name,
+        key: &AttemptId,
+        over_capacity: bool,
+    ) {
         self.starts += 1;
         let running = self.running.entry(key.task.clone()).or_default();
         running.insert((target.clone(), key.attempt));
         let twice = running.len() > 1;
-        let what = format!("{} run {} on {target}: {running:?}", key.task, key.attempt);
+        let details = format!("{} run {} on {target}: {running:?}", key.task, key.attempt);
         if twice {
-            self.broken(at, Rule::NotTwice, what);
+            self.record_violation(at, Rule::NoConcurrentRuns, details);
         }
         if over_capacity {
-            self.broken(at, Rule::Capacity, target.to_string());
+            self.record_violation(at, Rule::Capacity, target.to_string());
         }
-        let job = self.jobs.entry(job_of(&key.task)).or_default();
+        let job = self.jobs.entry(job_id_of(&key.task)).or_default();
         job.started = true;
         if let Some(crashes) = job.crashes.get_mut(&key.task) {
             crashes.starts_after += u32::from(crashes.targets >= 3);
             if crashes.starts_after >= 3 {
-                let what = format!("{} run {} on {target}", key.task, key.attempt);
-                self.broken(at, Rule::NotCrashedOn, what);
+                let details = format!("{} run {} on {target}", key.task, key.attempt);
+                self.record_violation(at, Rule::CrashingTasksNotRestarted, details);
             }
         }
     }
 
     /// Records that a target crashed under an attempt.
-    pub fn crashed(&mut self, key: &AttemptId) {
-        let job = self.jobs.entry(job_of(&key.task)).or_default();
+    pub fn record_crash(&mut self, key: &AttemptId) {
+        let job = self.jobs.entry(job_id_of(&key.task)).or_default();
         job.crashes.entry(key.task.clone()).or_default().targets += 1;
     }
 
     /// Records that an attempt has ended.
-    pub fn ended(&mut self, target: &Name, key: &AttemptId, outcome: ListedOutcome) {
+    pub fn record_end(&mut self, target: &Name, key: &AttemptId, outcome: ListedOutcome) {
         if let Some(running) = self.running.get_mut(&key.task) {
             running.remove(&(target.clone(), key.attempt));
         }
-        let job = self.jobs.entry(job_of(&key.task)).or_default();
+        let job = self.jobs.entry(job_id_of(&key.task)).or_default();
         match outcome {
             ListedOutcome::Done => {
                 job.done.insert(key.task.clone());
@@ -132,22 +138,22 @@
     }
 
     /// Records a start on a target that has long been leaving.
-    pub fn started_while_leaving(&mut self, at: Millis, target: &Name) {
-        self.broken(at, Rule::Leaving, target.to_string());
+    pub fn record_start_while_leaving(&mut self, at: Millis, target: &Name) {
+        self.record_violation(at, Rule::Leaving, target.to_string());
     }
 
     /// Records a start in a hall that has long been draining.
-    pub fn started_while_draining(&mut self, at: Millis, target: &Name) {
-        self.broken(at, Rule::Draining, target.to_string());
+    pub fn record_start_while_draining(&mut self, at: Millis, target: &Name) {
+        self.record_violation(at, Rule::Draining, target.to_string());
     }
 
     /// Records that nothing starts in a hall that was taken back.
-    pub fn not_taken_back(&mut self, at: Millis, hall: &Name) {
-        self.broken(at, Rule::TakenBack, hall.to_string());
+    pub fn record_no_service_after_drain(&mut self, at: Millis, hall: &Name) {
+        self.record_violation(at, Rule::ServiceAfterDrain, hall.to_string());
     }
 
     /// Records a caller's answer, or that it has none.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         at: Millis,
         id: &Name,
@@ -159,49 +165,49 @@
         match answer {
             Some(Answer::Refused { .. } | Answer::NotReady) => job.refused = true,
             Some(Answer::Completed) => {
-                job.not_refused = true;
+                job.maybe_not_refused = true;
                 if job.done.len() < tasks {
-                    let what = format!("{id}: {} of {tasks} tasks done", job.done.len());
-                    self.broken(at, Rule::CompletedWhole, what);
+                    let details = format!("{id}: {} of {tasks} tasks done", job.done.len());
+                    self.record_violation(at, Rule::CompletedJobsDone, details);
                 }
             }
             Some(Answer::Failed) => {
-                job.not_refused = true;
+                job.maybe_not_refused = true;
                 let failed = job.failures.values().any(|failed| *failed >= attempts);
                 let crashing = job.crashes.values().any(|crashes| crashes.targets >= 2);
                 if !failed && !crashing {
-                    self.broken(at, Rule::FailedTruly, id.to_string());
+                    self.record_violation(at, Rule::FailuresJustified, id.to_string());
                 }
             }
-            _ => job.not_refused = true,
+            _ => job.maybe_not_refused = true,
         }
     }
 
     /// Records that a caller waited for longer than it said.
-    pub fn unanswered(&mut self, at: Millis, id: &Name) {
-        self.broken(at, Rule::AnsweredInTime, id.to_string());
+    pub fn record_missed_deadline(&mut self, at: Millis, id: &Name) {
+        self.record_violation(at, Rule::AnsweredInTime, id.to_string());
     }
 
     /// Records that an end was acknowledged that its target never listed.
-    pub fn end_unheard(&mut self, at: Millis, target: &Name, key: &AttemptId) {
-        let what = format!("{} run {} on {target}", key.task, key.attempt);
-        self.broken(at, Rule::EndsHeard, what);
+    pub fn record_unlisted_end(&mut self, at: Millis, target: &Name, key: &AttemptId) {
+        let details = format!("{} run {} on {target}", key.task, key.attempt);
+        self.record_violation(at, Rule::AcknowledgedEndsListed, details);
     }
 
     /// Records that a host doesn't serve though nothing is harmed any more.
-    pub fn not_serving(&mut self, at: Millis, host: &Name) {
-        self.broken(at, Rule::Recovery, host.to_string());
+    pub fn record_no_recovery(&mut self, at: Millis, host: &Name) {
+        self.record_violation(at, Rule::Recovery, host.to_string());
     }
 
     /// Checks what only the end of a run can show.
     pub fn finish(&mut self, at: Millis) {
         let refused = self.jobs.iter();
         let refused: Vec<String> = refused
-            .filter(|(_, job)| job.refused && !job.not_refused && job.started)
+            .filter(|(_, job)| job.refused && !job.maybe_not_refused && job.started)
             .map(|(id, _)| id.to_string())
             .collect();
         for id in refused {
-            self.broken(at, Rule::RefusedTruly, id);
+            self.record_violation(at, Rule::RefusedJobsNotStarted, id);
         }
     }
 }
--- a/crates/dispatcher-sim/src/scenario.rs
+++ b/crates/dispatcher-sim/src/scenario.rs
@@ -18,9 +18,9 @@
     /// Halls.
     pub halls: usize,
     /// Hosts in each hall.
-    pub hosts: usize,
+    pub hosts_per_hall: usize,
     /// Targets in each hall.
-    pub targets: usize,
+    pub targets_per_hall: usize,
     /// Jobs a second.
     pub jobs_per_s: f64,
     /// The mean pause between faults, none if 0.
@@ -30,9 +30,9 @@
     /// The mean pause between targets that crash and start again under their id, none if 0.
     pub restart_gap_ms: Millis,
     /// The first task of one of so many jobs crashes each target that starts it, none if 0.
-    pub one_bad_of: u64,
+    pub one_crashing_job_in: u64,
     /// Whether targets reject what doesn't fit.
-    pub guards: bool,
+    pub targets_enforce_capacity: bool,
     /// Whether hosts' notes and faults are printed.
     pub verbose: bool,
     /// The deployment's bounds.
@@ -51,14 +51,14 @@
             seed,
             load_ms: 40_000,
             halls: 3,
-            hosts: 2,
-            targets: 4,
+            hosts_per_hall: 2,
+            targets_per_hall: 4,
             jobs_per_s: 30.0,
             fault_gap_ms: 1_500,
             drain_gap_ms: 0,
             restart_gap_ms: 0,
-            one_bad_of: 0,
-            guards: seed % 2 == 0,
+            one_crashing_job_in: 0,
+            targets_enforce_capacity: seed % 2 == 0,
             verbose: false,
             scheduling: Scheduling::default(),
             safeguards: Safeguards::default(),
@@ -85,7 +85,7 @@
 
     /// The same, where tasks wait at holders, in one order, by learned running times.
     #[must_use]
-    pub fn with_backlogs(seed: u64) -> Self {
+    pub fn with_queueing_at_holders(seed: u64) -> Self {
         Self {
             scheduling: Scheduling {
                 waiting_at: WaitingAt::Holder,
@@ -100,7 +100,7 @@
     #[must_use]
     pub fn with_crashing_tasks(seed: u64) -> Self {
         Self {
-            one_bad_of: 100,
+            one_crashing_job_in: 100,
             ..Self::new(seed)
         }
     }
--- a/crates/dispatcher-sim/src/target.rs
+++ b/crates/dispatcher-sim/src/target.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
     /// It works.
-    Well,
+    Normal,
     /// It fails all that it starts.
     Fails,
     /// All that runs there stands still.
@@ -37,9 +37,9 @@
     /// Its work.
     pub work_ms: f64,
     /// What is left of it.
-    pub left_ms: f64,
+    pub remaining_ms: f64,
     /// Whether it fails at its end.
-    pub fails: bool,
+    pub will_fail: bool,
 }
 
 /// One life of a target.
@@ -48,33 +48,33 @@
     /// What it says of itself.
     pub entry: TargetEntry,
     /// Whether it rejects what doesn't fit.
-    pub guards: bool,
+    pub enforces_capacity: bool,
     /// Whether its process lives.
-    pub up: bool,
+    pub is_up: bool,
     /// How it misbehaves.
     pub behaviour: Behaviour,
     /// What runs there.
     pub attempts: BTreeMap<AttemptId, Attempt>,
     /// Ends that were not taken note of.
-    pub ended: Vec<ListedEnd>,
+    pub unacknowledged_ends: Vec<ListedEnd>,
     /// A part of true time that its clock shows.
-    pub rate: f64,
+    pub clock_rate: f64,
     /// When this life began.
     pub born: ProcessStartTime,
     /// The highest number of an end that any listing of this life showed.
-    shown: u64,
+    last_listed_end: u64,
     clock_base: f64,
-    token: u64,
+    highest_token: u64,
     lease_until: f64,
     max_target_lease_ms: f64,
-    last_end: u64,
+    last_end_number: u64,
     /// The highest run of each task that was stopped or ended here.
-    past: BTreeMap<Name, u32>,
-    advanced: Millis,
+    past_attempts: BTreeMap<Name, u32>,
+    advanced_to: Millis,
 }
 
-fn listed((id, attempt): (&AttemptId, &Attempt)) -> ListedAttempt {
-    let done = 1.0 - attempt.left_ms / attempt.work_ms;
+fn list_attempt((id, attempt): (&AttemptId, &Attempt)) -> ListedAttempt {
+    let done = 1.0 - attempt.remaining_ms / attempt.work_ms;
     ListedAttempt {
         id: id.clone(),
         percent: Some((done * 100.0) as u8),
@@ -83,19 +83,19 @@
 
 /// What a renewal did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Renewed {
+pub enum RenewalOutcome {
     /// Nothing: a higher fencing token was seen.
     StaleToken,
     /// It was carried out.
-    Done {
+    Applied {
         /// A run whose end was forgotten, though no listing ever showed it.
-        unseen: Option<AttemptId>,
+        unlisted_end: Option<AttemptId>,
     },
 }
 
 /// What happened to a run, for the checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The run.
     pub id: AttemptId,
     /// How it ended.
@@ -103,43 +103,48 @@
 }
 
 impl Target {
-    /// Creates a target whose clock runs at `rate`.
+    /// Creates a target whose clock runs at `clock_rate`.
     #[must_use]
-    pub fn new(entry: TargetEntry, guards: bool, rate: f64, max_target_lease_ms: Millis) -> Self {
+    pub fn new(
+        entry: TargetEntry,
+        enforces_capacity: bool,
+        clock_rate: f64,
+        max_target_lease_ms: Millis,
+    ) -> Self {
         Self {
             entry,
-            guards,
-            up: true,
-            behaviour: Behaviour::Well,
+            enforces_capacity,
+            is_up: true,
+            behaviour: Behaviour::Normal,
             attempts: BTreeMap::new(),
-            ended: Vec::new(),
-            rate,
+            unacknowledged_ends: Vec::new(),
+            clock_rate,
             born: ProcessStartTime(0),
-            shown: 0,
+            last_listed_end: 0,
             clock_base: FIRST_CLOCK_MS,
-            token: 0,
+            highest_token: 0,
             lease_until: 0.0,
             max_target_lease_ms: max_target_lease_ms as f64,
-            last_end: 0,
-            past: BTreeMap::new(),
-            advanced: 0,
+            last_end_number: 0,
+            past_attempts: BTreeMap::new(),
+            advanced_to: 0,
         }
     }
 
     /// Starts again under the same id: knows nothing of its last life.
-    pub fn start_again(&mut self, now: Millis, born: ProcessStartTime) {
+    pub fn restart(&mut self, now: Millis, born: ProcessStartTime) {
         let longest = self.max_target_lease_ms as Millis;
         let entry = self.entry.clone();
-        *self = Self::new(entry, self.guards, self.rate, longest);
+        *self = Self::new(entry, self.enforces_capacity, self.clock_rate, longest);
         self.born = born;
-        self.clock_base = RESTARTED_CLOCK_MS - now as f64 * self.rate;
-        self.advanced = now;
+        self.clock_base = RESTARTED_CLOCK_MS - now as f64 * self.clock_rate;
+        self.advanced_to = now;
     }
 
     /// Returns its clock.
     #[must_use]
     pub fn clock(&self, now: Millis) -> f64 {
-        self.clock_base + now as f64 * self.rate
+        self.clock_base + now as f64 * self.clock_rate
     }
 
     /// Returns how much room its runs take beyond its capacity.
@@ -152,22 +157,22 @@
     }
 
     /// Lets its runs work until `now`; returns what ended.
-    pub fn advance(&mut self, now: Millis) -> Vec<Ended> {
-        let passed = now.saturating_sub(self.advanced) as f64;
-        self.advanced = now;
+    pub fn advance(&mut self, now: Millis) -> Vec<AttemptEnd> {
+        let passed = now.saturating_sub(self.advanced_to) as f64;
+        self.advanced_to = now;
         let speed = match self.behaviour {
-            Behaviour::Well | Behaviour::Fails => 1.0,
+            Behaviour::Normal | Behaviour::Fails => 1.0,
             Behaviour::Hangs => 0.0,
             Behaviour::Slow => 1.0 / 7.0,
         };
         let lease_expired = self.clock(now) > self.lease_until;
         let mut over = Vec::new();
         for (key, attempt) in &mut self.attempts {
-            attempt.left_ms -= passed * speed;
+            attempt.remaining_ms -= passed * speed;
             if lease_expired {
                 over.push((key.clone(), ListedOutcome::Interrupted));
-            } else if attempt.left_ms <= 0.0 {
-                let fails = attempt.fails || self.behaviour == Behaviour::Fails;
+            } else if attempt.remaining_ms <= 0.0 {
+                let fails = attempt.will_fail || self.behaviour == Behaviour::Fails;
                 let outcome = if fails {
                     ListedOutcome::Failed
                 } else {
@@ -177,29 +182,30 @@
             }
         }
         let ends = over.into_iter();
-        ends.map(|(key, outcome)| self.end(key, outcome)).collect()
+        ends.map(|(key, outcome)| self.end_attempt(key, outcome))
+            .collect()
     }
 
-    fn end(&mut self, id: AttemptId, outcome: ListedOutcome) -> Ended {
+    fn end_attempt(&mut self, id: AttemptId, outcome: ListedOutcome) -> AttemptEnd {
         self.attempts.remove(&id);
-        self.pass(&id);
-        self.last_end += 1;
-        self.ended.push(ListedEnd {
-            number: self.last_end,
+        self.record_past_attempt(&id);
+        self.last_end_number += 1;
+        self.unacknowledged_ends.push(ListedEnd {
+            number: self.last_end_number,
             id: id.clone(),
             outcome,
         });
-        Ended { id, outcome }
+        AttemptEnd { id, outcome }
     }
 
-    fn pass(&mut self, key: &AttemptId) {
-        let past = self.past.entry(key.task.clone()).or_default();
+    fn record_past_attempt(&mut self, key: &AttemptId) {
+        let past = self.past_attempts.entry(key.task.clone()).or_default();
         *past = (*past).max(key.attempt);
     }
 
     fn is_stale_token(&mut self, token: u64) -> bool {
-        let token_superseded = token < self.token;
-        self.token = self.token.max(token);
+        let token_superseded = token < self.highest_token;
+        self.highest_token = self.highest_token.max(token);
         token_superseded
     }
 
@@ -227,12 +233,12 @@
             return (TargetReply::StartDeadlinePassed { clock }, false);
         }
         self.extend_lease(now, order.until);
-        let past = self.past.get(&order.id.task);
+        let past = self.past_attempts.get(&order.id.task);
         if past.is_some_and(|past| order.id.attempt <= *past) {
             return (TargetReply::StaleAttempt { clock }, false);
         }
         let used = self.used_cpu() + attempt.resources.cpu;
-        if self.guards && used > self.entry.capacity.cpu {
+        if self.enforces_capacity && used > self.entry.capacity.cpu {
             return (TargetReply::InsufficientResources { clock }, false);
         }
         self.attempts.insert(order.id.clone(), attempt);
@@ -245,14 +251,14 @@
         now: Millis,
         token: u64,
         key: &AttemptId,
-    ) -> (TargetReply, Option<Ended>) {
+    ) -> (TargetReply, Option<AttemptEnd>) {
         let clock = self.clock(now) as Millis;
         if self.is_stale_token(token) {
             return (TargetReply::StaleToken { clock }, None);
         }
-        self.pass(key);
+        self.record_past_attempt(key);
         let there = self.attempts.contains_key(key);
-        let ended = there.then(|| self.end(key.clone(), ListedOutcome::Interrupted));
+        let ended = there.then(|| self.end_attempt(key.clone(), ListedOutcome::Interrupted));
         (TargetReply::Accepted { clock }, ended)
     }
 
@@ -263,31 +269,31 @@
         token: u64,
         until: Option<Millis>,
         acknowledged: u64,
-    ) -> Renewed {
+    ) -> RenewalOutcome {
         if self.is_stale_token(token) {
-            return Renewed::StaleToken;
+            return RenewalOutcome::StaleToken;
         }
         if let Some(until) = until {
             self.extend_lease(now, until);
         }
-        let shown = self.shown;
+        let last_listed_end = self.last_listed_end;
         let forgotten = |end: &ListedEnd| end.number <= acknowledged;
-        let unseen = self
-            .ended
+        let unlisted_end = self
+            .unacknowledged_ends
             .iter()
-            .find(|end| forgotten(end) && end.number > shown);
-        let unseen = unseen.map(|end| end.id.clone());
-        self.ended.retain(|end| !forgotten(end));
-        Renewed::Done { unseen }
+            .find(|end| forgotten(end) && end.number > last_listed_end);
+        let unlisted_end = unlisted_end.map(|end| end.id.clone());
+        self.unacknowledged_ends.retain(|end| !forgotten(end));
+        RenewalOutcome::Applied { unlisted_end }
     }
 
     /// Lists what runs and what has ended.
     pub fn listing(&mut self, now: Millis) -> TargetReply {
-        self.shown = self.last_end;
+        self.last_listed_end = self.last_end_number;
         TargetReply::Listing {
             clock: self.clock(now) as Millis,
-            running: self.attempts.iter().map(listed).collect(),
-            ended: self.ended.clone(),
+            running: self.attempts.iter().map(list_attempt).collect(),
+            ended: self.unacknowledged_ends.clone(),
             born: Some(self.born),
             capacity: None,
         }
--- a/crates/dispatcher-sim/src/world/answers.rs
+++ b/crates/dispatcher-sim/src/world/answers.rs
@@ -53,7 +53,7 @@
             let served = probes.filter(|caller| caller.served).count() as u64;
             if served * 2 < PROBES {
                 let name = self.hosts[host].info.name.clone();
-                self.checks.not_serving(self.now, &name);
+                self.checks.record_no_recovery(self.now, &name);
             }
         }
     }
@@ -65,7 +65,7 @@
         }
         let any = self.rng.random_range(0..self.hosts.len());
         let host = self.callers[index].probes.unwrap_or(any);
-        if !self.hosts[host].up {
+        if !self.hosts[host].is_up {
             self.come_again(index);
             return;
         }
@@ -97,7 +97,7 @@
         let (id, tasks) = (self.callers[index].id.clone(), self.callers[index].tasks);
         let seen = Some(answer);
         self.checks
-            .answered(self.now, &id, tasks, MAX_ATTEMPTS, seen);
+            .record_answer(self.now, &id, tasks, MAX_ATTEMPTS, seen);
         let kind = match answer {
             Answer::Completed => "completed",
             Answer::Failed => "failed",
@@ -121,7 +121,7 @@
         if !self.callers[index].over {
             let (id, tasks) = (self.callers[index].id.clone(), self.callers[index].tasks);
             self.checks
-                .answered(self.now, &id, tasks, MAX_ATTEMPTS, None);
+                .record_answer(self.now, &id, tasks, MAX_ATTEMPTS, None);
             self.come_again(index);
         }
     }
@@ -136,10 +136,10 @@
             let frozen = there.frozen || there.woke >= self.callers[index].tried;
             let hurried = self.callers[index].tried + HURRY_MS > self.now;
             if !frozen && !hurried {
-                self.checks.unanswered(self.now, &id);
+                self.checks.record_missed_deadline(self.now, &id);
             }
             self.checks
-                .answered(self.now, &id, tasks, MAX_ATTEMPTS, None);
+                .record_answer(self.now, &id, tasks, MAX_ATTEMPTS, None);
             self.gone(index, host, request_id);
         }
         self.callers[index].over = true;
@@ -150,7 +150,7 @@
         if let (false, Some((host, request_id))) = (caller.over, caller.waits_at) {
             let (id, tasks) = (caller.id.clone(), caller.tasks);
             self.checks
-                .answered(self.now, &id, tasks, MAX_ATTEMPTS, None);
+                .record_answer(self.now, &id, tasks, MAX_ATTEMPTS, None);
             self.gone(index, host, request_id);
         }
         self.callers[index].over = true;
--- a/crates/dispatcher-sim/src/world/building.rs
+++ b/crates/dispatcher-sim/src/world/building.rs
@@ -16,11 +16,11 @@
 
 impl World {
     pub(super) fn hall_of_host(&self, host: usize) -> usize {
-        host / self.scenario.hosts
+        host / self.scenario.hosts_per_hall
     }
 
     pub(super) fn hall_of_target(&self, target: usize) -> usize {
-        target / self.scenario.targets
+        target / self.scenario.targets_per_hall
     }
 
     pub(super) fn new_target(&mut self, index: usize) -> Target {
@@ -42,7 +42,7 @@
         };
         let rate = self.rng.random_range(0.98..=1.0);
         let longest = self.scenario.bounds.max_target_lease_ms;
-        Target::new(entry, self.scenario.guards, rate, longest)
+        Target::new(entry, self.scenario.targets_enforce_capacity, rate, longest)
     }
 
     pub(super) fn new_host(&mut self, index: usize) -> Host {
@@ -77,7 +77,7 @@
             dispatcher: Dispatcher::new(settings).expect("the bounds leave room"),
             base,
             life: self.lives,
-            up: true,
+            is_up: true,
             frozen: false,
             woke: 0,
             tick_at: 0,
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn list(&self) -> Vec<TargetEntry> {
-        let listed = self.targets.iter().filter(|target| target.up);
+        let listed = self.targets.iter().filter(|target| target.is_up);
         listed.map(|target| target.entry.clone()).collect()
     }
 }
--- a/crates/dispatcher-sim/src/world/draining.rs
+++ b/crates/dispatcher-sim/src/world/draining.rs
@@ -113,7 +113,7 @@
         };
         if self.now > since + DRAINED_MS && self.is_in_touch(host, since) {
             let id = self.targets[target].entry.id.clone();
-            self.checks.started_while_draining(self.now, &id);
+            self.checks.record_start_while_draining(self.now, &id);
         }
     }
 
@@ -135,7 +135,7 @@
             || !self.cut_halls.is_empty()
             || self.lossy_peers > 0;
         let calm_host = calm(self.host_troubled[host]) && calm(self.hall_troubled[hall]);
-        let known = there.up && !there.frozen && calm(there.woke) && calm(there.base);
+        let known = there.is_up && !there.frozen && calm(there.woke) && calm(there.base);
         store && known && !cut && calm_host && calm(self.peers_troubled)
     }
 
@@ -147,10 +147,11 @@
             let targets = (0..self.targets.len()).filter(|t| self.hall_of_target(*t) == hall);
             let serving = targets
                 .map(|target| &self.targets[target])
-                .any(|target| target.up && !target.entry.leaving);
+                .any(|target| target.is_up && !target.entry.leaving);
             let back = state.was_drained && state.draining_since.is_none();
             if back && serving && state.last_start < served_since {
-                self.checks.not_taken_back(self.now, &hall_name(hall));
+                self.checks
+                    .record_no_service_after_drain(self.now, &hall_name(hall));
             }
         }
     }
--- a/crates/dispatcher-sim/src/world/faults.rs
+++ b/crates/dispatcher-sim/src/world/faults.rs
@@ -113,7 +113,7 @@
             Fault::CutTargets(host) => lift(&mut self.cut_targets, host),
             Fault::CutHall(hall) => lift(&mut self.cut_halls, hall),
             Fault::CutTarget(target) => lift(&mut self.cut_target, target),
-            Fault::Misbehave(target, _) => self.targets[target].behaviour = Behaviour::Well,
+            Fault::Misbehave(target, _) => self.targets[target].behaviour = Behaviour::Normal,
             Fault::Late => self.late -= 1,
             Fault::LostAnswers => self.lost_answers -= 1,
             Fault::LossyPeers => self.lossy_peers -= 1,
@@ -161,7 +161,7 @@
 
     /// Returns whether halls are so large that hosts tell each other what the store holds.
     pub(super) fn hosts_tell_each_other(&self) -> bool {
-        self.scenario.hosts > LARGE_HALL
+        self.scenario.hosts_per_hall > LARGE_HALL
     }
 
     /// Draws which hosts the store turns away while it is out: all, or a part of those that
@@ -181,7 +181,7 @@
     pub(super) fn read_store(&mut self, host: usize) {
         self.at(self.now + READ_MS, Happening::Read(host));
         let there = &self.hosts[host];
-        if !there.up || there.frozen {
+        if !there.is_up || there.frozen {
             return;
         }
         let at = self.now - there.base;
@@ -221,11 +221,11 @@
     }
 
     pub(super) fn die(&mut self, host: usize, down_ms: Millis) {
-        if !self.hosts[host].up {
+        if !self.hosts[host].is_up {
             return;
         }
         let there = &mut self.hosts[host];
-        there.up = false;
+        there.is_up = false;
         there.frozen = false;
         there.queue.clear();
         there.peers.clear();
@@ -253,18 +253,18 @@
 
     /// Ends a target's process with all that runs there; returns false if there is none.
     pub(super) fn stop_target(&mut self, index: usize) -> bool {
-        if !self.targets[index].up {
+        if !self.targets[index].is_up {
             return false;
         }
         self.advance(index);
         let target = &mut self.targets[index];
-        target.up = false;
+        target.is_up = false;
         let id = target.entry.id.clone();
         let keys: Vec<_> = target.attempts.keys().cloned().collect();
         for key in keys {
             let outcome = gannetridge_dispatcher_core::event::ListedOutcome::Interrupted;
-            self.checks.ended(&id, &key, outcome);
-            self.checks.crashed(&key);
+            self.checks.record_end(&id, &key, outcome);
+            self.checks.record_crash(&key);
         }
         true
     }
@@ -278,7 +278,7 @@
 
     pub(super) fn target_leaves(&mut self, index: usize) {
         let target = &mut self.targets[index];
-        if !target.up || target.entry.leaving {
+        if !target.is_up || target.entry.leaving {
             return;
         }
         target.entry.leaving = true;
--- a/crates/dispatcher-sim/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -141,7 +141,7 @@
             store_version: 1,
             store_troubled: 0,
             store_out_for_all: 0,
-            host_troubled: vec![0; scenario.halls * scenario.hosts],
+            host_troubled: vec![0; scenario.halls * scenario.hosts_per_hall],
             hall_troubled: vec![0; scenario.halls],
             peers_troubled: 0,
             halls: vec![HallState::default(); scenario.halls],
@@ -151,11 +151,11 @@
             checks: Checks::default(),
             outcome: Outcome::default(),
         };
-        for index in 0..scenario.halls * scenario.targets {
+        for index in 0..scenario.halls * scenario.targets_per_hall {
             let target = world.new_target(index);
             world.targets.push(target);
         }
-        for index in 0..scenario.halls * scenario.hosts {
+        for index in 0..scenario.halls * scenario.hosts_per_hall {
             let host = world.new_host(index);
             world.hosts.push(host);
             world.welcome(index);
@@ -295,7 +295,7 @@
 
     fn give(&mut self, host: usize, life: u64, event: Event) {
         let there = &mut self.hosts[host];
-        if !there.up || there.life != life {
+        if !there.is_up || there.life != life {
             return;
         }
         if there.frozen {
--- a/crates/dispatcher-sim/src/world/network.rs
+++ b/crates/dispatcher-sim/src/world/network.rs
@@ -8,7 +8,7 @@
 use gannetridge_wire::Name;
 use rand::Rng;
 
-use crate::target::{Attempt, Renewed};
+use crate::target::{Attempt, RenewalOutcome};
 
 use super::parts::{Happening, LongPoll, Pending};
 use super::{World, HIT, STEP_MS};
@@ -42,7 +42,7 @@
             peer: true,
             why,
         };
-        if !self.peers_cut(host, to) && !self.hosts[to].up {
+        if !self.peers_cut(host, to) && !self.hosts[to].is_up {
             self.at(self.now + 1, missed(SendFailure::Refused));
             return;
         }
@@ -95,7 +95,7 @@
             why,
         };
         let cut = self.target_cut(host, target);
-        if !cut && !self.targets[target].up {
+        if !cut && !self.targets[target].is_up {
             self.at(self.now + 1, missed(SendFailure::Refused));
             return;
         }
@@ -142,7 +142,7 @@
         self.advance(index);
         let target = &mut self.targets[index];
         // A connection ends with the life of the process that it leads to.
-        if !target.up || (target.entry.id == *id && target.born != born) {
+        if !target.is_up || (target.entry.id == *id && target.born != born) {
             return;
         }
         if target.entry.id != *id {
@@ -167,7 +167,7 @@
             TargetCall::Stop(key) => {
                 let (reply, ended) = target.stop(now, token, &key);
                 if let Some(ended) = ended {
-                    self.checks.ended(id, &ended.id, ended.outcome);
+                    self.checks.record_end(id, &ended.id, ended.outcome);
                 }
                 reply
             }
@@ -177,13 +177,16 @@
                 wait_ms,
             } => {
                 let renewed = target.renew(now, token, until, acknowledged);
-                if let Renewed::Done { unseen: Some(key) } = &renewed {
-                    self.checks.end_unheard(now, id, key);
+                if let RenewalOutcome::Applied {
+                    unlisted_end: Some(key),
+                } = &renewed
+                {
+                    self.checks.record_unlisted_end(now, id, key);
                 }
-                if renewed == Renewed::StaleToken {
+                if renewed == RenewalOutcome::StaleToken {
                     let clock = target.clock(now) as Millis;
                     TargetReply::StaleToken { clock }
-                } else if target.ended.is_empty() && wait_ms > 0 {
+                } else if target.unacknowledged_ends.is_empty() && wait_ms > 0 {
                     if !lost {
                         self.renewals.push(LongPoll {
                             pending,
@@ -227,15 +230,15 @@
         let attempt = Attempt {
             resources,
             work_ms,
-            left_ms: work_ms,
-            fails: self.rng.random_bool(0.002),
+            remaining_ms: work_ms,
+            will_fail: self.rng.random_bool(0.002),
         };
         let target = &mut self.targets[index];
         let (reply, begun) = target.start(now, token, order, attempt);
         if begun {
             let id = target.entry.id.clone();
             let over = target.used_cpu() > target.entry.capacity.cpu;
-            self.checks.started(now, &id, &order.id, over);
+            self.checks.record_start(now, &id, &order.id, over);
             self.check_leaving(&id);
             self.plan_crash(index, &order.id);
         }
@@ -249,7 +252,7 @@
         };
         let calm = self.store_troubled < since && self.store_out == 0 && self.late == 0;
         if calm && self.now > since + self.scenario.bounds.drain_ms {
-            self.checks.started_while_leaving(self.now, id);
+            self.checks.record_start_while_leaving(self.now, id);
         }
     }
 
@@ -263,7 +266,7 @@
                     self.now, ended.id, ended.outcome
                 );
             }
-            self.checks.ended(&id, &ended.id, ended.outcome);
+            self.checks.record_end(&id, &ended.id, ended.outcome);
         }
     }
 
@@ -275,8 +278,8 @@
         for target_lease in renewals {
             let target = &self.targets[target_lease.target];
             let same_life = target.born == target_lease.born;
-            let same = target.up && same_life && target.entry.id == target_lease.id;
-            if same && target.ended.is_empty() && target_lease.until > self.now {
+            let same = target.is_up && same_life && target.entry.id == target_lease.id;
+            if same && target.unacknowledged_ends.is_empty() && target_lease.until > self.now {
                 self.renewals.push(target_lease);
             } else if same && !self.target_cut(target_lease.pending.host, target_lease.target) {
                 let reply = self.targets[target_lease.target].listing(self.now);
--- a/crates/dispatcher-sim/src/world/parts.rs
+++ b/crates/dispatcher-sim/src/world/parts.rs
@@ -17,7 +17,7 @@
     /// World time at which this life's clock was 0.
     pub(super) base: Millis,
     pub(super) life: u64,
-    pub(super) up: bool,
+    pub(super) is_up: bool,
     pub(super) frozen: bool,
     /// When it last began to run again.
     pub(super) woke: Millis,
--- a/crates/dispatcher-sim/src/world/restarts.rs
+++ b/crates/dispatcher-sim/src/world/restarts.rs
@@ -21,10 +21,10 @@
 const BAD_DOWN_MS: Millis = 3_000;
 
 /// Returns whether a task crashes its targets where one job of so many has one that does.
-fn is_bad(task: &str, one_bad_of: u64) -> bool {
+fn is_bad(task: &str, one_crashing_job_in: u64) -> bool {
     let first = task.split_once('.').filter(|(_, rest)| *rest == "0.0.0");
     let number = first.and_then(|(job, _)| u64::from_str_radix(job, 16).ok());
-    one_bad_of > 0 && number.is_some_and(|number| number % one_bad_of == 0)
+    one_crashing_job_in > 0 && number.is_some_and(|number| number % one_crashing_job_in == 0)
 }
 
 impl World {
@@ -66,7 +66,7 @@
 
     /// Has a task that has begun crash its target, if it is one that does.
     pub(super) fn plan_crash(&mut self, index: usize, id: &AttemptId) {
-        if is_bad(&id.task, self.scenario.one_bad_of) {
+        if is_bad(&id.task, self.scenario.one_crashing_job_in) {
             let at = self.now + BAD_WORK_MS;
             self.at(at, Happening::CrashUnder(index, id.clone()));
         }
@@ -84,7 +84,7 @@
     /// Starts a target again under its id.
     pub(super) fn target_back(&mut self, index: usize) {
         let born = ProcessStartTime(EPOCH_MS + self.now);
-        self.targets[index].start_again(self.now, born);
+        self.targets[index].restart(self.now, born);
         let entry = self.targets[index].entry.clone();
         self.news(vec![TargetChange::Listed(entry)]);
     }
--- a/crates/dispatcher-sim/tests/promises.rs
+++ b/crates/dispatcher-sim/tests/promises.rs
@@ -38,8 +38,8 @@
 fn promises_are_kept_among_many_hosts_with_seeds_that_once_broke_them() {
     for seed in FOUND_AMONG_MANY {
         let wide = Scenario {
-            hosts: 8,
-            targets: 12,
+            hosts_per_hall: 8,
+            targets_per_hall: 12,
             jobs_per_s: 120.0,
             load_ms: 20_000,
             ..Scenario::new(seed)
@@ -112,7 +112,7 @@
             ..Scenario::with_crashing_tasks(seed)
         });
         let mut violations = outcome.violations.iter();
-        violations.any(|v| v.rule == Rule::NotCrashedOn)
+        violations.any(|v| v.rule == Rule::CrashingTasksNotRestarted)
     });
     assert!(found, "nobody missed them");
 }
@@ -128,7 +128,10 @@
             safeguards,
             ..Scenario::with_restarts(seed)
         });
-        outcome.violations.iter().any(|v| v.rule == Rule::EndsHeard)
+        outcome
+            .violations
+            .iter()
+            .any(|v| v.rule == Rule::AcknowledgedEndsListed)
     });
     assert!(found, "nobody missed it");
 }
@@ -137,7 +140,7 @@
 #[test]
 fn promises_are_kept_while_tasks_wait_at_holders() {
     for seed in 1..=24 {
-        let outcome = run(&Scenario::with_backlogs(seed));
+        let outcome = run(&Scenario::with_queueing_at_holders(seed));
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
     }
 }
@@ -148,7 +151,7 @@
     for seed in (1..=12).chain([20]) {
         let outcome = run(&Scenario {
             restart_gap_ms: 800,
-            ..Scenario::with_backlogs(seed)
+            ..Scenario::with_queueing_at_holders(seed)
         });
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
     }
@@ -164,17 +167,20 @@
     let found = (1..=40).any(|seed| {
         let outcome = run(&Scenario {
             safeguards,
-            ..Scenario::with_backlogs(seed)
+            ..Scenario::with_queueing_at_holders(seed)
         });
-        outcome.violations.iter().any(|v| v.rule == Rule::NotTwice)
+        outcome
+            .violations
+            .iter()
+            .any(|v| v.rule == Rule::NoConcurrentRuns)
     });
     assert!(found, "nobody missed it");
 }
 
 fn wide_with_drains(seed: u64) -> Scenario {
     Scenario {
-        hosts: 8,
-        targets: 12,
+        hosts_per_hall: 8,
+        targets_per_hall: 12,
         jobs_per_s: 120.0,
         load_ms: 20_000,
         ..Scenario::with_drains(seed)
@@ -199,7 +205,7 @@
         |s| s.draining_is_learned_from_peers = false,
         Rule::Draining,
     ),
-    ("ends", |s| s.draining_ends = false, Rule::TakenBack),
+    ("ends", |s| s.draining_ends = false, Rule::ServiceAfterDrain),
 ];
 
 #[test]
@@ -226,8 +232,8 @@
 fn promises_are_kept_among_many_hosts() {
     for seed in 1..=3 {
         let wide = Scenario {
-            hosts: 8,
-            targets: 12,
+            hosts_per_hall: 8,
+            targets_per_hall: 12,
             jobs_per_s: 120.0,
             load_ms: 12_000,
             ..Scenario::new(seed)
@@ -270,18 +276,18 @@
     (
         "owner leases",
         |s| s.owner_leases_expire = false,
-        Rule::NotTwice,
+        Rule::NoConcurrentRuns,
     ),
     ("settling", |s| s.new_holders_settle = false, Rule::Capacity),
     (
         "lost runs",
         |s| s.lost_attempts_are_waited_for = false,
-        Rule::NotTwice,
+        Rule::NoConcurrentRuns,
     ),
     (
         "doubt",
         |s| s.unanswered_starts_count_as_running = false,
-        Rule::NotTwice,
+        Rule::NoConcurrentRuns,
     ),
     (
         "leaving",
@@ -291,12 +297,12 @@
     (
         "begun",
         |s| s.started_jobs_are_not_refused = false,
-        Rule::RefusedTruly,
+        Rule::RefusedJobsNotStarted,
     ),
     (
         "silence",
         |s| s.silent_attempts_are_waited_for = false,
-        Rule::NotTwice,
+        Rule::NoConcurrentRuns,
     ),
 ];
 
--- a/crates/dispatcher-sim/tests/two_holders.rs
+++ b/crates/dispatcher-sim/tests/two_holders.rs
@@ -8,7 +8,7 @@
     Action, Bounds, CallId, Decision, Dispatcher, Event, Millis, RequestId, Safeguards, Scheduling,
     SendFailure, Settings, TargetCall, TargetReply,
 };
-use gannetridge_dispatcher_sim::target::{Attempt, Renewed, Target};
+use gannetridge_dispatcher_sim::target::{Attempt, RenewalOutcome, Target};
 
 const BOUNDS: Bounds = Bounds {
     retransmit_ms: 1_300,
@@ -210,7 +210,7 @@
     /// Returns whether the target carries a call out now, or answers one for which it waited.
     fn is_due(&self, pending: &Pending) -> bool {
         let comes = self.reaches[pending.host] && pending.born == self.target.born;
-        let waited = |until| until <= self.now || !self.target.ended.is_empty();
+        let waited = |until| until <= self.now || !self.target.unacknowledged_ends.is_empty();
         comes && pending.waits_until.is_none_or(waited)
     }
 
@@ -222,8 +222,8 @@
                 let attempt = Attempt {
                     resources: task_resources(),
                     work_ms: self.work_ms,
-                    left_ms: self.work_ms,
-                    fails: false,
+                    remaining_ms: self.work_ms,
+                    will_fail: false,
                 };
                 let (reply, _) = self.target.start(now, token, order, attempt);
                 self.most_cpu = self.most_cpu.max(self.target.used_cpu());
@@ -238,11 +238,13 @@
                 acknowledged,
                 wait_ms,
             } => {
-                if self.target.renew(now, token, *until, *acknowledged) == Renewed::StaleToken {
+                if self.target.renew(now, token, *until, *acknowledged)
+                    == RenewalOutcome::StaleToken
+                {
                     let clock = self.target.clock(now) as Millis;
                     return Some(TargetReply::StaleToken { clock });
                 }
-                let answers = *wait_ms == 0 || !self.target.ended.is_empty();
+                let answers = *wait_ms == 0 || !self.target.unacknowledged_ends.is_empty();
                 answers.then(|| self.target.listing(now))
             }
         }
@@ -304,7 +306,7 @@
     /// The target crashes, and starts again at once under its id.
     fn restart(&mut self) {
         let born = ProcessStartTime(EPOCH_MS + self.now);
-        self.target.start_again(self.now, born);
+        self.target.restart(self.now, born);
     }
 }
 
--- a/crates/lab/src/cmd/dispatch.rs
+++ b/crates/lab/src/cmd/dispatch.rs
@@ -97,10 +97,10 @@
             fault_gap_ms: options.fault_gap_ms,
             drain_gap_ms: options.drain_gap_ms,
             restart_gap_ms: options.restart_gap_ms,
-            one_bad_of: options.one_bad_of,
+            one_crashing_job_in: options.one_bad_of,
             verbose: options.verbose,
-            hosts: options.hosts,
-            targets: options.targets,
+            hosts_per_hall: options.hosts,
+            targets_per_hall: options.targets,
             jobs_per_s: options.rate,
             scheduling,
             ..Scenario::new(*seed)
