--- a/crates/dispatcher-sim/src/callers.rs
+++ b/crates/dispatcher-sim/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that wait, leave, and come again.
+//! A model of a caller: its job, its deadline and the request that it waits for.
 
 use gannetridge_dispatcher_core::event::Submit;
 use gannetridge_dispatcher_core::spec::{JobSpec, Resources, StepSpec};
@@ -7,36 +7,36 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-/// How long a probe waits for its answer. Chosen, not measured.
-const PROBE_MS: Millis = 1_500;
+/// How long a probe waits for its answer.
+const PROBE_TIMEOUT_MS: Millis = 1_500;
 
 /// A job and its caller.
 #[derive(Clone, Debug)]
 pub struct Caller {
     /// The job's id.
     pub id: Name,
-    /// How many tasks it has.
+    /// The number of tasks in all steps.
     pub tasks: usize,
-    /// The job.
+    /// The job that is submitted.
     pub spec: JobSpec,
-    /// The host that it asks, if that is the same each time.
-    pub probes: Option<usize>,
-    /// Until when the caller waits.
-    pub until: Millis,
-    /// The host and token of the try that is under way.
-    pub waits_at: Option<(usize, u64)>,
-    /// When it last sent the job.
-    pub tried: Millis,
-    /// Whether it has its answer, or is gone.
-    pub over: bool,
-    /// Whether its job was completed.
-    pub served: bool,
+    /// The host that this probe is sent to; none for jobs of the load, which go to any host.
+    pub probed_host: Option<usize>,
+    /// When the caller stops waiting, in simulated ms.
+    pub deadline: Millis,
+    /// The host and request id of the submission that has no answer yet.
+    pub pending_request: Option<(usize, u64)>,
+    /// When it last submitted the job, in simulated ms.
+    pub last_sent: Millis,
+    /// The caller has a final answer, has left, or has reached its deadline.
+    pub is_finished: bool,
+    /// The last answer said that the job was completed.
+    pub is_completed: bool,
 }
 
 impl Caller {
-    /// Draws a job.
+    /// Creates a caller with a random job and deadline.
     #[must_use]
-    pub fn draw(rng: &mut Pcg64, number: u64, now: Millis) -> Self {
+    pub fn random(rng: &mut Pcg64, number: u64, now: Millis) -> Self {
         let kind = rng.random_range(0..10);
         let (count, estimate_ms) = match kind {
             0..=1 => (rng.random_range(4..=10), 60),
@@ -69,21 +69,21 @@
                 durable: false,
                 steps,
             },
-            probes: None,
-            until: now + rng.random_range(1_800..4_500),
-            waits_at: None,
-            tried: 0,
-            over: false,
-            served: false,
+            probed_host: None,
+            deadline: now + rng.random_range(1_800..4_500),
+            pending_request: None,
+            last_sent: 0,
+            is_finished: false,
+            is_completed: false,
         }
     }
 
-    /// Makes a job of one short task that shows whether a host serves.
+    /// Creates a caller with a job of one short task, which checks that a host serves.
     #[must_use]
     pub fn probe(rng: &mut Pcg64, host: usize, number: u64, now: Millis) -> Self {
-        let mut probe = Self::draw(rng, number, now);
-        probe.probes = Some(host);
-        probe.until = now + PROBE_MS;
+        let mut probe = Self::random(rng, number, now);
+        probe.probed_host = Some(host);
+        probe.deadline = now + PROBE_TIMEOUT_MS;
         probe.tasks = 1;
         probe.spec.steps.truncate(1);
         probe.spec.steps[0].count = 1;
@@ -91,13 +91,13 @@
         probe
     }
 
-    /// Returns what it sends.
+    /// Returns the submission, with the time left until the deadline.
     #[must_use]
     pub fn submit(&self, now: Millis) -> Box<Submit> {
         Box::new(Submit {
             host: "game.example".into(),
             path: format!("/turns/{}", self.id).into(),
-            deadline_ms: Some(self.until.saturating_sub(now)),
+            deadline_ms: Some(self.deadline.saturating_sub(now)),
             spec: self.spec.clone(),
         })
     }
--- a/crates/dispatcher-sim/src/checks.rs
+++ b/crates/dispatcher-sim/src/checks.rs
@@ -1,4 +1,7 @@
-//! What must always hold, as callers and targets see it.
+//! The rules that every run must keep, checked by what callers and targets observe.
+//!
+//! [`Checks`] records starts, ends, crashes and answers, and reports each broken rule as a
+//! [`Violation`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,57 +10,59 @@
 use gannetridge_dispatcher_core::{Answer, Millis};
 use gannetridge_wire::Name;
 
-/// What must always hold.
+/// A rule that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// No task runs twice at the same time.
     NoConcurrentRuns,
     /// No target runs more than it has resources for.
     Capacity,
-    /// A target that has been leaving for long gets no task.
+    /// No task starts on a target that has been leaving for longer than the bound.
     Leaving,
-    /// A hall that has been draining for long gets no task.
+    /// No task starts in a hall that has been draining for longer than the bound.
     Draining,
-    /// A hall that was taken back serves again.
+    /// A hall serves again after its drain has ended.
     ServiceAfterDrain,
-    /// A job is answered as completed only with all its tasks done.
+    /// A job is answered as completed only if all its tasks are done.
     CompletedJobsDone,
-    /// A job is answered as failed only with a task that failed as often as allowed, or under
-    /// which two targets crashed.
+    /// A job is answered as failed only if one of its tasks failed as often as allowed, or
+    /// crashed two targets.
     FailuresJustified,
-    /// A task under which three targets crashed isn't started three times more.
+    /// A task that crashed three targets isn't started three more times.
     CrashingTasksNotRestarted,
-    /// A caller has its answer in the time that it waits.
+    /// A caller gets its answer before its deadline.
     AnsweredInTime,
-    /// A host serves again when nothing is harmed any more.
+    /// Every host serves again after all faults have ended.
     Recovery,
-    /// Nothing of a job that was refused as not run has started.
+    /// No task has started of a job that was only ever refused as not run.
     RefusedJobsNotStarted,
-    /// No end is acknowledged that its target never listed.
+    /// No end is acknowledged that its target has never listed.
     AcknowledgedEndsListed,
 }
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Violation {
-    /// When.
+    /// When it was detected, in ms of the run's clock.
     pub at: Millis,
-    /// Which.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// The job, task or target.
+    /// The job, task, target, hall or host concerned.
     pub details: String,
 }
 
-/// Targets that crashed under a task, and its starts after the third of them.
+/// Counts crashes of targets that ran a task, and its starts after the third crash.
 #[derive(Debug, Default)]
 struct Crashes {
     targets: u32,
     starts_after: u32,
 }
 
+/// What was observed of one job.
 #[derive(Debug, Default)]
 struct JobRecord {
     started: bool,
+    /// An answer other than a refusal came, or an answer was lost.
     maybe_not_refused: bool,
     refused: bool,
     failures: BTreeMap<Name, u32>,
@@ -65,14 +70,14 @@
     done: BTreeSet<Name>,
 }
 
-/// Sees what callers and targets see.
+/// Records what callers and targets observe, and collects violations.
 #[derive(Debug, Default)]
 pub struct Checks {
     running: BTreeMap<Name, BTreeSet<(Name, u32)>>,
     jobs: BTreeMap<Name, JobRecord>,
-    /// What was broken.
+    /// All violations so far, in the order of detection.
     pub violations: Vec<Violation>,
-    /// Starts seen.
+    /// The number of attempts that targets have started.
     pub starts: u64,
 }
 
@@ -86,7 +91,7 @@
         self.violations.push(Violation { at, rule, details });
     }
 
-    /// Records that an attempt has begun.
+    /// Records that a target has started an attempt.
     pub fn record_start(
         &mut self,
         at: Millis,
@@ -97,9 +102,12 @@
         self.starts += 1;
         let running = self.running.entry(key.task.clone()).or_default();
         running.insert((target.clone(), key.attempt));
-        let twice = running.len() > 1;
-        let details = format!("{} run {} on {target}: {running:?}", key.task, key.attempt);
-        if twice {
+        let is_concurrent = running.len() > 1;
+        let details = format!(
+            "{} attempt {} on {target}: {running:?}",
+            key.task, key.attempt
+        );
+        if is_concurrent {
             self.record_violation(at, Rule::NoConcurrentRuns, details);
         }
         if over_capacity {
@@ -110,13 +118,13 @@
         if let Some(crashes) = job.crashes.get_mut(&key.task) {
             crashes.starts_after += u32::from(crashes.targets >= 3);
             if crashes.starts_after >= 3 {
-                let details = format!("{} run {} on {target}", key.task, key.attempt);
+                let details = format!("{} attempt {} on {target}", key.task, key.attempt);
                 self.record_violation(at, Rule::CrashingTasksNotRestarted, details);
             }
         }
     }
 
-    /// Records that a target crashed under an attempt.
+    /// Records that a target crashed while it ran an attempt.
     pub fn record_crash(&mut self, key: &AttemptId) {
         let job = self.jobs.entry(job_id_of(&key.task)).or_default();
         job.crashes.entry(key.task.clone()).or_default().targets += 1;
@@ -147,12 +155,13 @@
         self.record_violation(at, Rule::Draining, target.to_string());
     }
 
-    /// Records that nothing starts in a hall that was taken back.
+    /// Records that nothing starts in a hall whose drain has ended.
     pub fn record_no_service_after_drain(&mut self, at: Millis, hall: &Name) {
         self.record_violation(at, Rule::ServiceAfterDrain, hall.to_string());
     }
 
-    /// Records a caller's answer, or that it has none.
+    /// Records a caller's answer, or `None` if the caller lost or left its connection first.
+    /// `attempts` is how often a task may fail.
     pub fn record_answer(
         &mut self,
         at: Millis,
@@ -183,23 +192,23 @@
         }
     }
 
-    /// Records that a caller waited for longer than it said.
+    /// Records that a caller had no answer at its deadline.
     pub fn record_missed_deadline(&mut self, at: Millis, id: &Name) {
         self.record_violation(at, Rule::AnsweredInTime, id.to_string());
     }
 
     /// Records that an end was acknowledged that its target never listed.
     pub fn record_unlisted_end(&mut self, at: Millis, target: &Name, key: &AttemptId) {
-        let details = format!("{} run {} on {target}", key.task, key.attempt);
+        let details = format!("{} attempt {} on {target}", key.task, key.attempt);
         self.record_violation(at, Rule::AcknowledgedEndsListed, details);
     }
 
-    /// Records that a host doesn't serve though nothing is harmed any more.
+    /// Records that a host doesn't serve after all faults have ended.
     pub fn record_no_recovery(&mut self, at: Millis, host: &Name) {
         self.record_violation(at, Rule::Recovery, host.to_string());
     }
 
-    /// Checks what only the end of a run can show.
+    /// Checks the rules that can only be checked at the end of a run.
     pub fn finish(&mut self, at: Millis) {
         let refused = self.jobs.iter();
         let refused: Vec<String> = refused
--- a/crates/dispatcher-sim/src/faults.rs
+++ b/crates/dispatcher-sim/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when.
+//! The kinds of faults, and the random choice of one and of its duration.
 
 use gannetridge_dispatcher_core::Millis;
 use rand::Rng;
@@ -6,44 +6,44 @@
 
 use crate::target::Behaviour;
 
-/// Something that goes wrong.
+/// A fault; numbers are indices of hosts, targets or halls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A host's process dies and starts again.
+    /// A host's process is killed and restarts.
     Kill(usize),
-    /// All hosts' processes die and start again.
+    /// All hosts' processes are killed and restart.
     KillAll,
-    /// A host's process stands still.
+    /// A host's process is suspended.
     Freeze(usize),
-    /// A host is asked to stop in order and starts again.
+    /// A host shuts down gracefully and restarts.
     Stop(usize),
     /// A host reaches no other host.
     CutPeers(usize),
     /// A host reaches no target.
     CutTargets(usize),
-    /// A hall's hosts and targets reach none of other halls.
+    /// A hall is cut off from all other halls.
     CutHall(usize),
-    /// A target reaches no host.
+    /// No host reaches a target.
     CutTarget(usize),
-    /// A target's process dies and another starts.
+    /// A target's process crashes and is replaced by one with another id.
     Crash(usize),
-    /// A target misbehaves.
+    /// A target fails its attempts, hangs or slows down.
     Misbehave(usize, Behaviour),
-    /// A target says that it leaves.
+    /// A target is marked as leaving.
     Leave(usize),
-    /// Calls to targets get no answer and are done late.
-    Late,
-    /// Answers of targets are lost.
-    LostAnswers,
-    /// Requests between hosts are lost.
+    /// Some calls to targets are carried out late and get no reply.
+    LateCalls,
+    /// Some replies of targets are lost.
+    LostReplies,
+    /// Some requests and replies between hosts are lost.
     LossyPeers,
-    /// The store gives no answer; entries lapse meanwhile.
-    StoreOut,
+    /// The store doesn't answer; some target entries expire meanwhile.
+    StoreOutage,
 }
 
-/// Draws a fault.
+/// Returns a random fault.
 #[must_use]
-pub fn draw(rng: &mut Pcg64, hosts: usize, targets: usize, halls: usize) -> Fault {
+pub fn random_fault(rng: &mut Pcg64, hosts: usize, targets: usize, halls: usize) -> Fault {
     let host = rng.random_range(0..hosts);
     let target = rng.random_range(0..targets);
     match rng.random_range(0..18) {
@@ -60,20 +60,20 @@
         12 => Fault::Misbehave(target, Behaviour::Hangs),
         13 => Fault::Misbehave(target, Behaviour::Slow),
         14 => Fault::Leave(target),
-        15 => Fault::Late,
-        16 => Fault::LostAnswers,
+        15 => Fault::LateCalls,
+        16 => Fault::LostReplies,
         _ => {
             if rng.random() {
                 Fault::LossyPeers
             } else {
-                Fault::StoreOut
+                Fault::StoreOutage
             }
         }
     }
 }
 
-/// Draws how long a fault lasts.
+/// Returns how long a fault lasts.
 #[must_use]
-pub fn length(rng: &mut Pcg64) -> Millis {
+pub fn random_duration_ms(rng: &mut Pcg64) -> Millis {
     rng.random_range(100..6_000)
 }
--- a/crates/dispatcher-sim/src/lib.rs
+++ b/crates/dispatcher-sim/src/lib.rs
@@ -1,13 +1,13 @@
-//! A seeded simulator of [`gannetridge_dispatcher_core::Dispatcher`]: several hosts in
-//! one process, targets with fencing tokens, leases and clocks of their own, callers
-//! that leave and come again, and faults of every kind. The same seed gives the same
-//! run, event for event.
+//! A deterministic, seeded simulator of [`gannetridge_dispatcher_core::Dispatcher`].
 //!
-//! - `world` owns everything that moves, as one queue of what happens
-//! - [`target`], `callers`: models of targets and callers; the soak uses the targets
-//!   as well
-//! - `faults`: what goes wrong
-//! - [`checks`]: what must hold, by what callers and targets see alone
+//! Runs several hosts in one process, with models of targets, callers, store and network,
+//! and injects faults. The same seed gives the same run, event for event.
+//!
+//! - `world` owns the simulated system and its event queue
+//! - [`target`], `callers`: models of targets and callers; the soak test uses the target
+//!   model as well
+//! - `faults`: the kinds of faults and their random choice
+//! - [`checks`]: the rules that must hold, checked by what callers and targets observe
 
 mod callers;
 pub mod checks;
--- a/crates/dispatcher-sim/src/scenario.rs
+++ b/crates/dispatcher-sim/src/scenario.rs
@@ -1,4 +1,4 @@
-//! One seeded run.
+//! The parameters of a seeded run, and its result.
 
 use std::collections::BTreeMap;
 
@@ -8,43 +8,44 @@
 use crate::checks::Violation;
 use crate::world::World;
 
-/// What a run is made of.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// The seed.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How long callers come and faults strike.
+    /// How long jobs are submitted and faults are injected.
     pub load_ms: Millis,
-    /// Halls.
+    /// The number of halls.
     pub halls: usize,
-    /// Hosts in each hall.
+    /// The number of hosts in each hall.
     pub hosts_per_hall: usize,
-    /// Targets in each hall.
+    /// The number of targets in each hall.
     pub targets_per_hall: usize,
-    /// Jobs a second.
+    /// The mean number of jobs submitted in a second.
     pub jobs_per_s: f64,
-    /// The mean pause between faults, none if 0.
+    /// The mean interval between faults; 0 for no faults.
     pub fault_gap_ms: Millis,
-    /// The mean pause between times at which the operator drains halls, none if 0.
+    /// The mean interval between drains of halls; 0 for no drains.
     pub drain_gap_ms: Millis,
-    /// The mean pause between targets that crash and start again under their id, none if 0.
+    /// The mean interval between crashes of targets that restart under their id; 0 for none.
     pub restart_gap_ms: Millis,
-    /// The first task of one of so many jobs crashes each target that starts it, none if 0.
+    /// In one of this many jobs the first task crashes each target that starts it; 0 for none.
     pub one_crashing_job_in: u64,
-    /// Whether targets reject what doesn't fit.
+    /// Targets reject attempts that exceed their capacity.
     pub targets_enforce_capacity: bool,
-    /// Whether hosts' notes and faults are printed.
+    /// Hosts' decisions, calls to targets and faults are printed.
     pub verbose: bool,
-    /// The deployment's bounds.
+    /// The time bounds that hosts and targets are configured with.
     pub bounds: Bounds,
-    /// The ways that hosts use.
+    /// The scheduling settings of all hosts.
     pub scheduling: Scheduling,
-    /// The mechanisms that hosts have.
+    /// The safety mechanisms that are enabled in hosts.
     pub safeguards: Safeguards,
 }
 
 impl Scenario {
-    /// A small deployment under faults of every kind.
+    /// Returns a small deployment with faults of every kind, but no drains, restarts or crashing
+    /// tasks.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -74,7 +75,7 @@
 }
 
 impl Scenario {
-    /// The same, where targets crash and start again under their id all the time.
+    /// Returns the scenario of [`Self::new`] where targets also crash and restart under their id.
     #[must_use]
     pub fn with_restarts(seed: u64) -> Self {
         Self {
@@ -83,7 +84,8 @@
         }
     }
 
-    /// The same, where tasks wait at holders, in one order, by learned running times.
+    /// Returns the scenario of [`Self::with_drains`] where tasks queue at holders, ordered by
+    /// shares and by learned running times.
     #[must_use]
     pub fn with_queueing_at_holders(seed: u64) -> Self {
         Self {
@@ -96,7 +98,8 @@
         }
     }
 
-    /// The same, where tasks crash each target that starts them.
+    /// Returns the scenario of [`Self::new`] where some tasks also crash each target that starts
+    /// them.
     #[must_use]
     pub fn with_crashing_tasks(seed: u64) -> Self {
         Self {
@@ -105,7 +108,8 @@
         }
     }
 
-    /// The same, where the operator drains halls and takes them back all the time.
+    /// Returns the scenario of [`Self::new`] where halls are also drained and put back into
+    /// service.
     #[must_use]
     pub fn with_drains(seed: u64) -> Self {
         Self {
@@ -115,20 +119,20 @@
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Events that hosts took in.
+    /// The number of events that hosts handled.
     pub events: u64,
-    /// Starts that targets carried out.
+    /// The number of attempts that targets started.
     pub starts: u64,
-    /// Jobs.
+    /// The number of jobs submitted, without probes.
     pub jobs: u64,
-    /// Final answers, by kind.
+    /// The number of answers to jobs and probes, by kind.
     pub answers: BTreeMap<&'static str, u64>,
-    /// Faults, by kind.
+    /// The number of faults, by kind.
     pub faults: BTreeMap<&'static str, u64>,
-    /// Promises that were broken.
+    /// The rules that were broken.
     pub violations: Vec<Violation>,
 }
 
--- a/crates/dispatcher-sim/src/target.rs
+++ b/crates/dispatcher-sim/src/target.rs
@@ -1,5 +1,7 @@
-//! A model of a target: one fencing token, one lease, one list of ends, a clock of its
-//! own that may be slow.
+//! A model of a target: its fencing token, its lease, its attempts and their ends, and its own
+//! clock, which may run slow.
+//!
+//! Its time advances only by calls, so that runs are reproducible.
 
 use std::collections::BTreeMap;
 
@@ -11,65 +13,66 @@
 use gannetridge_dispatcher_core::{Millis, StartOrder};
 use gannetridge_wire::Name;
 
-/// A target's clock when the world begins, in ms.
+/// A target's clock at simulated time 0, in ms.
 const FIRST_CLOCK_MS: f64 = 400_000.0;
-/// A target's clock when it starts again, in ms.
+/// A target's clock right after a restart, in ms.
 const RESTARTED_CLOCK_MS: f64 = 1_000.0;
 
 /// How a target behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It works.
+    /// Attempts run at normal speed.
     Normal,
-    /// It fails all that it starts.
+    /// Every attempt that reaches its end fails.
     Fails,
-    /// All that runs there stands still.
+    /// Attempts make no progress.
     Hangs,
-    /// All takes seven times as long.
+    /// Attempts take seven times as long.
     Slow,
 }
 
-/// A run on a target.
+/// An attempt at a task on a target.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// What it takes.
+    /// The resources that it uses.
     pub resources: Resources,
-    /// Its work.
+    /// How long it takes at normal speed.
     pub work_ms: f64,
-    /// What is left of it.
+    /// What remains of `work_ms`.
     pub remaining_ms: f64,
-    /// Whether it fails at its end.
+    /// It ends as failed.
     pub will_fail: bool,
 }
 
-/// One life of a target.
+/// One incarnation of a target.
 #[derive(Debug)]
 pub struct Target {
-    /// What it says of itself.
+    /// Its entry in the store's list of targets.
     pub entry: TargetEntry,
-    /// Whether it rejects what doesn't fit.
+    /// It rejects attempts that exceed its capacity.
     pub enforces_capacity: bool,
-    /// Whether its process lives.
+    /// Its process is running.
     pub is_up: bool,
-    /// How it misbehaves.
+    /// How its attempts currently progress and end.
     pub behaviour: Behaviour,
-    /// What runs there.
+    /// The attempts that run on it.
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// Ends that were not taken note of.
+    /// Ends that no renewal has acknowledged yet, in ascending order of their numbers.
     pub unacknowledged_ends: Vec<ListedEnd>,
-    /// A part of true time that its clock shows.
+    /// The speed of its clock; 1.0 is exact.
     pub clock_rate: f64,
-    /// When this life began.
+    /// Identifies this incarnation.
     pub born: ProcessStartTime,
-    /// The highest number of an end that any listing of this life showed.
+    /// The number of the last end when this incarnation last sent a listing.
     last_listed_end: u64,
     clock_base: f64,
     highest_token: u64,
     lease_until: f64,
     max_target_lease_ms: f64,
     last_end_number: u64,
-    /// The highest run of each task that was stopped or ended here.
+    /// The highest attempt of each task that was stopped or has ended here.
     past_attempts: BTreeMap<Name, u32>,
+    /// The simulated time up to which attempts have progressed.
     advanced_to: Millis,
 }
 
@@ -81,29 +84,29 @@
     }
 }
 
-/// What a renewal did.
+/// The outcome of a lease renewal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RenewalOutcome {
-    /// Nothing: a higher fencing token was seen.
+    /// Nothing was changed: the target has seen a higher fencing token.
     StaleToken,
-    /// It was carried out.
+    /// Acknowledged ends were removed, and the lease was extended if a time was given.
     Applied {
-        /// A run whose end was forgotten, though no listing ever showed it.
+        /// An attempt whose end was acknowledged though no listing has shown it.
         unlisted_end: Option<AttemptId>,
     },
 }
 
-/// What happened to a run, for the checks.
+/// The end of an attempt, for the checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptEnd {
-    /// The run.
+    /// The attempt that ended.
     pub id: AttemptId,
     /// How it ended.
     pub outcome: ListedOutcome,
 }
 
 impl Target {
-    /// Creates a target whose clock runs at `clock_rate`.
+    /// Creates a running target without attempts or lease.
     #[must_use]
     pub fn new(
         entry: TargetEntry,
@@ -131,23 +134,23 @@
         }
     }
 
-    /// Starts again under the same id: knows nothing of its last life.
+    /// Restarts under the same id, without any state of the previous incarnation.
     pub fn restart(&mut self, now: Millis, born: ProcessStartTime) {
-        let longest = self.max_target_lease_ms as Millis;
+        let max_lease_ms = self.max_target_lease_ms as Millis;
         let entry = self.entry.clone();
-        *self = Self::new(entry, self.enforces_capacity, self.clock_rate, longest);
+        *self = Self::new(entry, self.enforces_capacity, self.clock_rate, max_lease_ms);
         self.born = born;
         self.clock_base = RESTARTED_CLOCK_MS - now as f64 * self.clock_rate;
         self.advanced_to = now;
     }
 
-    /// Returns its clock.
+    /// Returns the time that its clock shows, in ms.
     #[must_use]
     pub fn clock(&self, now: Millis) -> f64 {
         self.clock_base + now as f64 * self.clock_rate
     }
 
-    /// Returns how much room its runs take beyond its capacity.
+    /// Returns the CPU that its attempts use, in thousandths of a core.
     #[must_use]
     pub fn used_cpu(&self) -> u32 {
         self.attempts
@@ -156,9 +159,9 @@
             .sum()
     }
 
-    /// Lets its runs work until `now`; returns what ended.
+    /// Advances its attempts to `now` and returns those that ended. An expired lease ends all.
     pub fn advance(&mut self, now: Millis) -> Vec<AttemptEnd> {
-        let passed = now.saturating_sub(self.advanced_to) as f64;
+        let elapsed_ms = now.saturating_sub(self.advanced_to) as f64;
         self.advanced_to = now;
         let speed = match self.behaviour {
             Behaviour::Normal | Behaviour::Fails => 1.0,
@@ -166,11 +169,11 @@
             Behaviour::Slow => 1.0 / 7.0,
         };
         let lease_expired = self.clock(now) > self.lease_until;
-        let mut over = Vec::new();
+        let mut ends = Vec::new();
         for (key, attempt) in &mut self.attempts {
-            attempt.remaining_ms -= passed * speed;
+            attempt.remaining_ms -= elapsed_ms * speed;
             if lease_expired {
-                over.push((key.clone(), ListedOutcome::Interrupted));
+                ends.push((key.clone(), ListedOutcome::Interrupted));
             } else if attempt.remaining_ms <= 0.0 {
                 let fails = attempt.will_fail || self.behaviour == Behaviour::Fails;
                 let outcome = if fails {
@@ -178,10 +181,10 @@
                 } else {
                     ListedOutcome::Done
                 };
-                over.push((key.clone(), outcome));
+                ends.push((key.clone(), outcome));
             }
         }
-        let ends = over.into_iter();
+        let ends = ends.into_iter();
         ends.map(|(key, outcome)| self.end_attempt(key, outcome))
             .collect()
     }
@@ -203,6 +206,7 @@
         *past = (*past).max(key.attempt);
     }
 
+    /// Raises the highest token; returns `true` if `token` is below it.
     fn is_stale_token(&mut self, token: u64) -> bool {
         let token_superseded = token < self.highest_token;
         self.highest_token = self.highest_token.max(token);
@@ -214,7 +218,7 @@
         self.lease_until = self.lease_until.max((until as f64).min(longest));
     }
 
-    /// Starts a task; returns whether a run began.
+    /// Handles a start; returns the reply, and `true` if the attempt was started.
     pub fn start(
         &mut self,
         now: Millis,
@@ -245,7 +249,7 @@
         (TargetReply::Accepted { clock }, true)
     }
 
-    /// Stops a run; returns its end.
+    /// Handles a stop; returns the reply, and the attempt's end if it was running.
     pub fn stop(
         &mut self,
         now: Millis,
@@ -257,12 +261,12 @@
             return (TargetReply::StaleToken { clock }, None);
         }
         self.record_past_attempt(key);
-        let there = self.attempts.contains_key(key);
-        let ended = there.then(|| self.end_attempt(key.clone(), ListedOutcome::Interrupted));
+        let is_running = self.attempts.contains_key(key);
+        let ended = is_running.then(|| self.end_attempt(key.clone(), ListedOutcome::Interrupted));
         (TargetReply::Accepted { clock }, ended)
     }
 
-    /// Renews the lease and forgets acknowledged ends.
+    /// Extends the lease if `until` is given, and removes ends numbered up to `acknowledged`.
     pub fn renew(
         &mut self,
         now: Millis,
@@ -277,17 +281,17 @@
             self.extend_lease(now, until);
         }
         let last_listed_end = self.last_listed_end;
-        let forgotten = |end: &ListedEnd| end.number <= acknowledged;
+        let is_acknowledged = |end: &ListedEnd| end.number <= acknowledged;
         let unlisted_end = self
             .unacknowledged_ends
             .iter()
-            .find(|end| forgotten(end) && end.number > last_listed_end);
+            .find(|end| is_acknowledged(end) && end.number > last_listed_end);
         let unlisted_end = unlisted_end.map(|end| end.id.clone());
-        self.unacknowledged_ends.retain(|end| !forgotten(end));
+        self.unacknowledged_ends.retain(|end| !is_acknowledged(end));
         RenewalOutcome::Applied { unlisted_end }
     }
 
-    /// Lists what runs and what has ended.
+    /// Returns a listing of the running attempts and the unacknowledged ends.
     pub fn listing(&mut self, now: Millis) -> TargetReply {
         self.last_listed_end = self.last_end_number;
         TargetReply::Listing {
--- a/crates/dispatcher-sim/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -1,14 +1,15 @@
-//! Hosts, targets, callers and the network between them, as one queue of what happens.
+//! The simulated system: hosts, targets, callers, store and network, driven by one event queue.
 //!
-//! [`World`] owns all of it, and draws every chance from the scenario's seed.
+//! [`World`] owns all state, and takes every random choice from generators seeded by the
+//! scenario.
 
-mod answers;
-mod building;
+mod callers;
 mod draining;
 mod faults;
+mod model;
 mod network;
-mod parts;
-mod restarts;
+mod setup;
+mod target_restarts;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -26,127 +27,137 @@
 use crate::target::Target;
 
 use draining::HallState;
-use parts::{Happening, Host, LongPoll, Pending};
+use model::{Host, LongPoll, Pending, SimEvent};
 
-/// Between steps of what runs on targets, in ms. Chosen, not measured.
-const STEP_MS: Millis = 5;
-/// From a change of the list until hosts hear of it, in ms.
-const NEWS_MS: Millis = 250;
-/// Between a host's reads of the store, in ms, where hosts tell each other what it holds.
-const READ_MS: Millis = 500;
-/// Where hosts tell each other what the store holds, it may turn one of so many parts of
-/// them away and serve the others.
-const STORE_PARTS: usize = 3;
-/// Halls of more hosts than this are so large that they do.
-const LARGE_HALL: usize = 4;
-/// From a target's silent death until its entry goes, in ms.
-const LAPSE_MS: Millis = 4_500;
-/// A caller with less time than this, in ms, may get no answer in time.
-const HURRY_MS: Millis = 50;
-/// After the load, time in ms until every host must serve again. Chosen, not measured.
+/// The interval at which attempts on targets progress, in ms.
+const ADVANCE_INTERVAL_MS: Millis = 5;
+/// The delay until hosts that follow the store receive a change of it, in ms.
+const STORE_CHANGE_DELAY_MS: Millis = 250;
+/// The interval between a host's reads of the store where hosts share reads, in ms.
+const STORE_READ_INTERVAL_MS: Millis = 500;
+/// The number of groups of hosts where hosts share reads: an outage may hit one group only.
+const STORE_HOST_GROUPS: usize = 3;
+/// In halls of up to this many hosts every host reads the store; in larger ones they share reads.
+const MAX_HOSTS_WITHOUT_SHARED_READS: usize = 4;
+/// How long the store keeps the entry of a crashed target, in ms.
+const ENTRY_EXPIRY_MS: Millis = 4_500;
+/// A submission with less time than this left, in ms, may stay unanswered.
+const MIN_ANSWER_MS: Millis = 50;
+/// The time from the end of the load until every host has to serve again, in ms.
 const RECOVERY_MS: Millis = 12_000;
-/// Between probes of each host after that, in ms, and how many there are.
-/// Chosen, not measured.
-const PROBE_GAP_MS: Millis = 100;
-const PROBES: u64 = 10;
-/// Time for the last answers, in ms. Chosen, not measured.
-const AFTER_MS: Millis = 3_000;
-/// Faults begin when hosts have found each other, in ms. Chosen, not measured.
-const QUIET_MS: Millis = 2_000;
-/// The share of calls that are late, or whose answers are lost, during such a fault.
-/// Chosen, not measured.
-const HIT: f64 = 0.1;
-/// The wall clock's time when the run begins.
+/// The interval between the probes of a host after that, in ms.
+const PROBE_INTERVAL_MS: Millis = 100;
+/// The number of probes of each host.
+const PROBES_PER_HOST: u64 = 10;
+/// The time after the last probes in which answers may come, in ms.
+const FINAL_WAIT_MS: Millis = 3_000;
+/// When jobs and faults begin, in ms; by then hosts have discovered each other.
+const WARM_UP_MS: Millis = 2_000;
+/// The probability that a fault of calls affects a call while it lasts.
+const CALL_FAULT_PROBABILITY: f64 = 0.1;
+/// The wall clock's time at simulated time 0.
 const EPOCH_MS: u64 = 1_760_000_000_000;
-/// Sets the generator of drained halls apart from that of all else.
-const DRAIN_STREAM: u64 = 0x6472_6169_6e00;
-/// Sets the generator of targets that start again apart from that of all else.
-const RESTART_STREAM: u64 = 0x7265_7374_6172;
-/// How often a task may fail. Chosen, not measured.
+/// Separates the random numbers of drains from all others.
+const DRAIN_SEED_MASK: u64 = 0x6472_6169_6e00;
+/// Separates the random numbers of target restarts from all others.
+const RESTART_SEED_MASK: u64 = 0x7265_7374_6172;
+/// How often a task may fail.
 const MAX_ATTEMPTS: u32 = 2;
 
-/// Hosts, targets, callers and the network between them.
+/// The state of a simulation and its event queue.
 pub struct World {
     scenario: Scenario,
     rng: Pcg64,
     now: Millis,
-    sequence: u64,
-    queue: BinaryHeap<Reverse<(Millis, u64)>>,
-    happenings: HashMap<u64, Happening>,
+    last_sequence: u64,
+    /// Times and sequence numbers of scheduled events; equal times keep the order of scheduling.
+    event_queue: BinaryHeap<Reverse<(Millis, u64)>>,
+    /// Scheduled events by sequence number.
+    scheduled_events: HashMap<u64, SimEvent>,
     hosts: Vec<Host>,
     targets: Vec<Target>,
-    lives: u64,
-    calls: HashSet<(usize, u64, CallId)>,
-    renewals: Vec<LongPoll>,
+    /// Numbers processes of hosts and targets, so that each is unique.
+    instances_created: u64,
+    /// Calls without a reply, by calling host and its instance.
+    open_calls: HashSet<(usize, u64, CallId)>,
+    long_polls: Vec<LongPoll>,
     callers: Vec<Caller>,
     request_ids: u64,
+    /// The resources and the estimate of each job's tasks, by job id.
     resources: HashMap<Name, (Resources, Millis)>,
-    cut_peers: BTreeMap<usize, u32>,
-    cut_targets: BTreeMap<usize, u32>,
-    cut_halls: BTreeMap<usize, u32>,
-    cut_target: BTreeMap<usize, u32>,
-    late: u32,
-    lost_answers: u32,
+    /// Hosts that reach no other host, with the number of such faults in progress.
+    hosts_cut_from_peers: BTreeMap<usize, u32>,
+    /// Hosts that reach no target, with the number of such faults in progress.
+    hosts_cut_from_targets: BTreeMap<usize, u32>,
+    /// Halls cut off from all others, with the number of such faults in progress.
+    cut_off_halls: BTreeMap<usize, u32>,
+    /// Targets that no host reaches, with the number of such faults in progress.
+    cut_off_targets: BTreeMap<usize, u32>,
+    // The numbers of faults of these kinds in progress.
+    late_calls: u32,
+    lost_replies: u32,
     lossy_peers: u32,
-    store_out: u32,
-    /// While the store is out for some hosts only: which of [`STORE_PARTS`] parts of them.
-    turned_away: Option<usize>,
-    /// Grows with each change of what the store holds.
+    store_outages: u32,
+    /// The only one of [`STORE_HOST_GROUPS`] groups that an outage hits; none if it hits all hosts.
+    rejected_host_group: Option<usize>,
+    /// Grows with each change of the store's contents.
     store_version: u64,
-    store_troubled: Millis,
-    /// When the store was last out for all hosts.
-    store_out_for_all: Millis,
-    /// When each host was last cut off.
-    host_troubled: Vec<Millis>,
-    /// When each hall was last cut off.
-    hall_troubled: Vec<Millis>,
-    /// When requests between hosts were last lost.
-    peers_troubled: Millis,
+    /// When an outage of the store last began, or the store last came back.
+    last_store_outage: Millis,
+    /// When an outage for all hosts last ended.
+    last_full_store_outage: Millis,
+    /// When each host was last cut off or suspended, by the end of the fault.
+    host_disturbed_at: Vec<Millis>,
+    /// When each hall was last cut off, by the end of the fault.
+    hall_disturbed_at: Vec<Millis>,
+    /// When requests between hosts were last lost, by the end of the fault.
+    peers_disturbed_at: Millis,
     halls: Vec<HallState>,
     drain_rng: Pcg64,
     restart_rng: Pcg64,
+    /// When each leaving target was marked as leaving.
     leaving_since: HashMap<Name, Millis>,
     checks: Checks,
     outcome: Outcome,
 }
 
 impl World {
-    /// Builds a world.
+    /// Creates all hosts and targets, and schedules the first events.
     #[must_use]
     pub fn new(scenario: &Scenario) -> Self {
         let mut world = Self {
             scenario: *scenario,
             rng: Pcg64::seed_from_u64(scenario.seed),
             now: 0,
-            sequence: 0,
-            queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
+            last_sequence: 0,
+            event_queue: BinaryHeap::new(),
+            scheduled_events: HashMap::new(),
             hosts: Vec::new(),
             targets: Vec::new(),
-            lives: 0,
-            calls: HashSet::new(),
-            renewals: Vec::new(),
+            instances_created: 0,
+            open_calls: HashSet::new(),
+            long_polls: Vec::new(),
             callers: Vec::new(),
             request_ids: 0,
             resources: HashMap::new(),
-            cut_peers: BTreeMap::new(),
-            cut_targets: BTreeMap::new(),
-            cut_halls: BTreeMap::new(),
-            cut_target: BTreeMap::new(),
-            late: 0,
-            lost_answers: 0,
+            hosts_cut_from_peers: BTreeMap::new(),
+            hosts_cut_from_targets: BTreeMap::new(),
+            cut_off_halls: BTreeMap::new(),
+            cut_off_targets: BTreeMap::new(),
+            late_calls: 0,
+            lost_replies: 0,
             lossy_peers: 0,
-            store_out: 0,
-            turned_away: None,
+            store_outages: 0,
+            rejected_host_group: None,
             store_version: 1,
-            store_troubled: 0,
-            store_out_for_all: 0,
-            host_troubled: vec![0; scenario.halls * scenario.hosts_per_hall],
-            hall_troubled: vec![0; scenario.halls],
-            peers_troubled: 0,
+            last_store_outage: 0,
+            last_full_store_outage: 0,
+            host_disturbed_at: vec![0; scenario.halls * scenario.hosts_per_hall],
+            hall_disturbed_at: vec![0; scenario.halls],
+            peers_disturbed_at: 0,
             halls: vec![HallState::default(); scenario.halls],
-            drain_rng: Pcg64::seed_from_u64(scenario.seed ^ DRAIN_STREAM),
-            restart_rng: Pcg64::seed_from_u64(scenario.seed ^ RESTART_STREAM),
+            drain_rng: Pcg64::seed_from_u64(scenario.seed ^ DRAIN_SEED_MASK),
+            restart_rng: Pcg64::seed_from_u64(scenario.seed ^ RESTART_SEED_MASK),
             leaving_since: HashMap::new(),
             checks: Checks::default(),
             outcome: Outcome::default(),
@@ -158,92 +169,115 @@
         for index in 0..scenario.halls * scenario.hosts_per_hall {
             let host = world.new_host(index);
             world.hosts.push(host);
-            world.welcome(index);
+            world.send_initial_state(index);
         }
-        world.at(0, Happening::Step);
-        world.at(QUIET_MS, Happening::NewJob);
+        world.schedule(0, SimEvent::AdvanceTargets);
+        world.schedule(WARM_UP_MS, SimEvent::NewJob);
         for host in 0..world.hosts.len() {
-            for number in 0..PROBES {
-                let at = scenario.load_ms + RECOVERY_MS + number * PROBE_GAP_MS;
-                world.at(at, Happening::Probe(host));
+            for number in 0..PROBES_PER_HOST {
+                let at = scenario.load_ms + RECOVERY_MS + number * PROBE_INTERVAL_MS;
+                world.schedule(at, SimEvent::ProbeHost(host));
             }
         }
-        if world.hosts_tell_each_other() {
+        if world.hosts_share_store_reads() {
             for host in 0..world.hosts.len() {
-                world.at(host as Millis, Happening::Read(host));
+                world.schedule(host as Millis, SimEvent::ReadStore(host));
             }
         }
         if scenario.fault_gap_ms > 0 {
-            world.at(QUIET_MS, Happening::Fault);
+            world.schedule(WARM_UP_MS, SimEvent::NextFault);
         }
-        world.plan_drains();
-        world.plan_restarts();
+        world.schedule_drains();
+        world.schedule_target_restarts();
         world
     }
 
-    fn at(&mut self, time: Millis, happening: Happening) {
-        self.sequence += 1;
-        self.queue
-            .push(Reverse((time.max(self.now), self.sequence)));
-        self.happenings.insert(self.sequence, happening);
+    /// Schedules an event; a past time means now.
+    fn schedule(&mut self, time: Millis, event: SimEvent) {
+        self.last_sequence += 1;
+        self.event_queue
+            .push(Reverse((time.max(self.now), self.last_sequence)));
+        self.scheduled_events.insert(self.last_sequence, event);
     }
 
-    fn tell(&mut self, host: usize, after: Millis, event: Event) {
-        let life = self.hosts[host].life;
+    /// Schedules an event for the current instance of a host, `after` ms from now.
+    fn send_event(&mut self, host: usize, after: Millis, event: Event) {
+        let instance = self.hosts[host].instance;
         let event = Box::new(event);
-        self.at(self.now + after, Happening::Event { host, life, event });
+        self.schedule(
+            self.now + after,
+            SimEvent::Event {
+                host,
+                instance,
+                event,
+            },
+        );
     }
 
-    /// Runs to the end.
+    /// Runs until the last answers may have come; returns the result.
     #[must_use]
     pub fn run(mut self) -> Outcome {
-        let end = self.scenario.load_ms + RECOVERY_MS + PROBES * PROBE_GAP_MS + AFTER_MS;
-        while let Some(Reverse((time, sequence))) = self.queue.pop() {
+        let end = self.scenario.load_ms
+            + RECOVERY_MS
+            + PROBES_PER_HOST * PROBE_INTERVAL_MS
+            + FINAL_WAIT_MS;
+        while let Some(Reverse((time, sequence))) = self.event_queue.pop() {
             if time > end {
                 break;
             }
             self.now = time;
-            let happening = self.happenings.remove(&sequence).expect("it was put there");
-            self.happen(happening);
+            let event = self
+                .scheduled_events
+                .remove(&sequence)
+                .expect("queued events are stored");
+            self.handle_event(event);
         }
         self.check_recovery();
-        self.check_taken_back(self.scenario.load_ms + RECOVERY_MS);
+        self.check_service_after_drains(self.scenario.load_ms + RECOVERY_MS);
         self.checks.finish(self.now);
         self.outcome.starts = self.checks.starts;
         self.outcome.violations = self.checks.violations;
         self.outcome
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Step => self.step(),
-            Happening::Tick { host, life } => self.tick(host, life),
-            Happening::Event { host, life, event } => self.give(host, life, *event),
-            Happening::Call {
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::AdvanceTargets => self.advance_targets(),
+            SimEvent::Tick { host, instance } => self.tick(host, instance),
+            SimEvent::Event {
+                host,
+                instance,
+                event,
+            } => self.deliver_event(host, instance, *event),
+            SimEvent::PeerCall {
                 pending,
                 to,
                 envelope,
-            } => self.peer_called(pending, to, envelope),
-            Happening::Reply { pending, reply } => {
+            } => self.handle_peer_call(pending, to, envelope),
+            SimEvent::PeerReply { pending, reply } => {
                 let event = |call| Event::PeerReply {
                     call,
                     reply: Ok(reply),
                 };
-                self.come_back(pending, event);
+                self.complete_call(pending, event);
             }
-            Happening::Missed { pending, peer, why } => {
+            SimEvent::CallFailed {
+                pending,
+                is_peer_call,
+                failure,
+            } => {
                 let event = |call| {
-                    if peer {
-                        let reply = Err(why);
+                    if is_peer_call {
+                        let reply = Err(failure);
                         Event::PeerReply { call, reply }
                     } else {
-                        let reply = Err(why);
+                        let reply = Err(failure);
                         Event::TargetReply { call, reply }
                     }
                 };
-                self.come_back(pending, event);
+                self.complete_call(pending, event);
             }
-            Happening::Target {
+            SimEvent::TargetCall {
                 pending,
                 target,
                 id,
@@ -251,86 +285,91 @@
                 token,
                 order,
                 lost,
-            } => self.target_called(pending, target, &id, born, token, order, lost),
-            Happening::TargetReply { pending, reply } => {
+            } => self.handle_target_call(pending, target, &id, born, token, order, lost),
+            SimEvent::TargetReply { pending, reply } => {
                 let event = |call| Event::TargetReply {
                     call,
                     reply: Ok(reply),
                 };
-                self.come_back(pending, event);
+                self.complete_call(pending, event);
             }
-            Happening::NewJob => self.new_job(),
-            Happening::Probe(host) => self.probe(host),
-            Happening::Try(caller) => self.try_at(caller),
-            Happening::Deadline(caller) => self.deadline(caller),
-            Happening::Leave(caller) => self.leave(caller),
-            Happening::Fault => self.fault(),
-            Happening::Over(fault) => self.over(fault),
-            Happening::Restart(host) => self.restart(host),
-            Happening::NewTarget(target) => self.replace_target(target),
-            Happening::Lapse(id) => self.news(vec![TargetChange::Removed(id)]),
-            Happening::ReadAgain(host) => {
-                if self.store_out == 0 {
-                    self.tell(host, 1, Event::TargetsRead(self.list().into()));
+            SimEvent::NewJob => self.submit_new_job(),
+            SimEvent::ProbeHost(host) => self.probe_host(host),
+            SimEvent::SubmitJob(caller) => self.submit_job(caller),
+            SimEvent::CallerDeadline(caller) => self.reach_caller_deadline(caller),
+            SimEvent::CallerLeaves(caller) => self.leave_caller(caller),
+            SimEvent::NextFault => self.inject_fault(),
+            SimEvent::FaultEnds(fault) => self.end_fault(fault),
+            SimEvent::HostRestarts(host) => self.restart_host(host),
+            SimEvent::ReplaceTarget(target) => self.replace_target(target),
+            SimEvent::EntryExpires(id) => {
+                self.announce_target_changes(vec![TargetChange::Removed(id)])
+            }
+            SimEvent::RereadTargets(host) => {
+                if self.store_outages == 0 {
+                    self.send_event(host, 1, Event::TargetsRead(self.target_entries().into()));
                 }
             }
-            Happening::Read(host) => self.read_store(host),
-            Happening::Drain => self.drain(),
-            Happening::TakeBack(hall) => self.take_back(hall),
-            Happening::RestartTarget => self.restart_target(),
-            Happening::TargetBack(target) => self.target_back(target),
-            Happening::CrashUnder(target, id) => self.crash_under(target, &id),
+            SimEvent::ReadStore(host) => self.read_store(host),
+            SimEvent::DrainHalls => self.drain_halls(),
+            SimEvent::EndDrain(hall) => self.end_drain(hall),
+            SimEvent::TargetCrashes => self.crash_random_target(),
+            SimEvent::TargetRestarts(target) => self.restart_target(target),
+            SimEvent::TaskCrashesTarget(target, id) => self.crash_target_by_task(target, &id),
         }
     }
 
-    /// Gives a reply to a call that still waits for one.
-    fn come_back(&mut self, pending: Pending, event: impl FnOnce(CallId) -> Event) {
+    /// Delivers the result of a call, unless the call has one already.
+    fn complete_call(&mut self, pending: Pending, event: impl FnOnce(CallId) -> Event) {
         if self
-            .calls
-            .remove(&(pending.host, pending.life, pending.call))
+            .open_calls
+            .remove(&(pending.host, pending.instance, pending.call))
         {
-            self.give(pending.host, pending.life, event(pending.call));
+            self.deliver_event(pending.host, pending.instance, event(pending.call));
         }
     }
 
-    fn give(&mut self, host: usize, life: u64, event: Event) {
-        let there = &mut self.hosts[host];
-        if !there.is_up || there.life != life {
+    /// Has a host handle an event; a suspended one handles it once it resumes.
+    fn deliver_event(&mut self, host: usize, instance: u64, event: Event) {
+        let host_state = &mut self.hosts[host];
+        if !host_state.is_up || host_state.instance != instance {
             return;
         }
-        if there.frozen {
-            there.queue.push(event);
+        if host_state.is_suspended {
+            host_state.deferred_events.push(event);
             return;
         }
         self.outcome.events += 1;
-        let at = self.now - there.base;
-        let actions = there.dispatcher.handle(at, event);
-        let next = there.base + there.dispatcher.next_timer().max(at + 1);
-        if there.tick_at <= self.now || next < there.tick_at {
-            there.tick_at = next;
-            self.at(next, Happening::Tick { host, life });
+        let at = self.now - host_state.clock_start;
+        let actions = host_state.dispatcher.handle(at, event);
+        let next = host_state.clock_start + host_state.dispatcher.next_timer().max(at + 1);
+        if host_state.next_tick <= self.now || next < host_state.next_tick {
+            host_state.next_tick = next;
+            self.schedule(next, SimEvent::Tick { host, instance });
         }
         for action in actions {
-            self.perform(host, action);
+            self.perform_action(host, action);
         }
     }
 
-    fn tick(&mut self, host: usize, life: u64) {
-        let there = &self.hosts[host];
-        let due = there.life == life && there.tick_at <= self.now;
+    fn tick(&mut self, host: usize, instance: u64) {
+        let host_state = &self.hosts[host];
+        let due = host_state.instance == instance && host_state.next_tick <= self.now;
         if due {
-            self.give(host, life, Event::Tick);
+            self.deliver_event(host, instance, Event::Tick);
         }
     }
 
-    fn perform(&mut self, host: usize, action: Action) {
+    fn perform_action(&mut self, host: usize, action: Action) {
         match action {
-            Action::Answer { request_id, answer } => self.answer(host, request_id.0, &answer),
+            Action::Answer { request_id, answer } => {
+                self.receive_answer(host, request_id.0, &answer)
+            }
             Action::Reply { request_id, reply } => {
-                if let Some(pending) = self.hosts[host].peers.remove(&request_id.0) {
-                    if !self.peers_cut(host, pending.host) && !self.is_lossy() {
-                        let at = self.now + self.trip();
-                        self.at(at, Happening::Reply { pending, reply });
+                if let Some(pending) = self.hosts[host].waiting_peers.remove(&request_id.0) {
+                    if !self.are_peers_cut(host, pending.host) && !self.loses_peer_message() {
+                        let at = self.now + self.random_latency_ms();
+                        self.schedule(at, SimEvent::PeerReply { pending, reply });
                     }
                 }
             }
@@ -359,12 +398,13 @@
                     println!("{:6} host-{host} {decision:?}", self.now);
                 }
             }
-            Action::Stopped => self.die(host, 100),
+            Action::Stopped => self.kill_host(host, 100),
         }
     }
 }
 
-fn lift(cuts: &mut BTreeMap<usize, u32>, key: usize) {
+/// Ends one of the faults that cut `key` off.
+fn end_cut(cuts: &mut BTreeMap<usize, u32>, key: usize) {
     if let Some(count) = cuts.get_mut(&key) {
         *count -= 1;
         if *count == 0 {
--- a/crates/dispatcher-sim/src/world/network.rs
+++ b/crates/dispatcher-sim/src/world/network.rs
@@ -1,4 +1,4 @@
-//! Calls between hosts and to targets, and what is lost of them.
+//! Calls between hosts and to targets, with their delays, losses and failures.
 
 use gannetridge_dispatcher_core::event::ProcessStartTime;
 use gannetridge_dispatcher_core::message::Envelope;
@@ -10,22 +10,28 @@
 
 use crate::target::{Attempt, RenewalOutcome};
 
-use super::parts::{Happening, LongPoll, Pending};
-use super::{World, HIT, STEP_MS};
+use super::model::{LongPoll, Pending, SimEvent};
+use super::{World, ADVANCE_INTERVAL_MS, CALL_FAULT_PROBABILITY};
 
 impl World {
-    pub(super) fn trip(&mut self) -> Millis {
+    /// Returns the random one-way delay of a message.
+    pub(super) fn random_latency_ms(&mut self) -> Millis {
         self.rng.random_range(0..=2)
     }
 
-    pub(super) fn is_lossy(&mut self) -> bool {
-        self.lossy_peers > 0 && self.rng.random_bool(HIT)
+    pub(super) fn loses_peer_message(&mut self) -> bool {
+        self.lossy_peers > 0 && self.rng.random_bool(CALL_FAULT_PROBABILITY)
     }
 
-    pub(super) fn expect(&mut self, host: usize, call: CallId) -> Pending {
-        let life = self.hosts[host].life;
-        self.calls.insert((host, life, call));
-        Pending { host, life, call }
+    /// Registers a call that waits for a reply.
+    pub(super) fn register_call(&mut self, host: usize, call: CallId) -> Pending {
+        let instance = self.hosts[host].instance;
+        self.open_calls.insert((host, instance, call));
+        Pending {
+            host,
+            instance,
+            call,
+        }
     }
 
     pub(super) fn call_peer(
@@ -36,22 +42,22 @@
         envelope: Box<Envelope>,
         wait_ms: Millis,
     ) {
-        let pending = self.expect(host, call);
-        let missed = |why| Happening::Missed {
+        let pending = self.register_call(host, call);
+        let failed = |failure| SimEvent::CallFailed {
             pending,
-            peer: true,
-            why,
+            is_peer_call: true,
+            failure,
         };
-        if !self.peers_cut(host, to) && !self.hosts[to].is_up {
-            self.at(self.now + 1, missed(SendFailure::Refused));
+        if !self.are_peers_cut(host, to) && !self.hosts[to].is_up {
+            self.schedule(self.now + 1, failed(SendFailure::Refused));
             return;
         }
-        self.at(self.now + wait_ms, missed(SendFailure::Unknown));
-        if !self.peers_cut(host, to) && !self.is_lossy() {
-            let at = self.now + self.trip();
-            self.at(
+        self.schedule(self.now + wait_ms, failed(SendFailure::Unknown));
+        if !self.are_peers_cut(host, to) && !self.loses_peer_message() {
+            let at = self.now + self.random_latency_ms();
+            self.schedule(
                 at,
-                Happening::Call {
+                SimEvent::PeerCall {
                     pending,
                     to,
                     envelope,
@@ -60,16 +66,21 @@
         }
     }
 
-    pub(super) fn peer_called(&mut self, pending: Pending, to: usize, envelope: Box<Envelope>) {
+    pub(super) fn handle_peer_call(
+        &mut self,
+        pending: Pending,
+        to: usize,
+        envelope: Box<Envelope>,
+    ) {
         self.request_ids += 1;
         let request_id = self.request_ids;
-        let there = &mut self.hosts[to];
-        let life = there.life;
-        there.peers.insert(request_id, pending);
+        let host_state = &mut self.hosts[to];
+        let instance = host_state.instance;
+        host_state.waiting_peers.insert(request_id, pending);
         let request_id = RequestId(request_id);
-        self.give(
+        self.deliver_event(
             to,
-            life,
+            instance,
             Event::Peer {
                 request_id,
                 envelope,
@@ -88,35 +99,36 @@
         order: TargetCall,
         wait_ms: Millis,
     ) {
-        let pending = self.expect(host, call);
-        let missed = |why| Happening::Missed {
+        let pending = self.register_call(host, call);
+        let failed = |failure| SimEvent::CallFailed {
             pending,
-            peer: false,
-            why,
+            is_peer_call: false,
+            failure,
         };
-        let cut = self.target_cut(host, target);
-        if !cut && !self.targets[target].is_up {
-            self.at(self.now + 1, missed(SendFailure::Refused));
+        let is_cut = self.is_target_cut(host, target);
+        if !is_cut && !self.targets[target].is_up {
+            self.schedule(self.now + 1, failed(SendFailure::Refused));
             return;
         }
-        if cut && self.rng.random() {
-            self.at(self.now + wait_ms.min(150), missed(SendFailure::NotSent));
+        if is_cut && self.rng.random() {
+            self.schedule(self.now + wait_ms.min(150), failed(SendFailure::NotSent));
             return;
         }
-        self.at(self.now + wait_ms, missed(SendFailure::Unknown));
-        if cut {
+        self.schedule(self.now + wait_ms, failed(SendFailure::Unknown));
+        if is_cut {
             return;
         }
-        let late = self.late > 0 && self.rng.random_bool(HIT);
-        let lost = late || (self.lost_answers > 0 && self.rng.random_bool(HIT));
-        let after = if late {
+        let is_late = self.late_calls > 0 && self.rng.random_bool(CALL_FAULT_PROBABILITY);
+        let lost =
+            is_late || (self.lost_replies > 0 && self.rng.random_bool(CALL_FAULT_PROBABILITY));
+        let after = if is_late {
             self.rng.random_range(2_000..12_000)
         } else {
-            self.trip()
+            self.random_latency_ms()
         };
-        self.at(
+        self.schedule(
             self.now + after,
-            Happening::Target {
+            SimEvent::TargetCall {
                 pending,
                 target,
                 id,
@@ -128,8 +140,8 @@
         );
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the fields of one happening")]
-    pub(super) fn target_called(
+    #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
+    pub(super) fn handle_target_call(
         &mut self,
         pending: Pending,
         index: usize,
@@ -139,14 +151,14 @@
         order: TargetCall,
         lost: bool,
     ) {
-        self.advance(index);
+        self.advance_target(index);
         let target = &mut self.targets[index];
-        // A connection ends with the life of the process that it leads to.
+        // A connection doesn't outlive the process to which it was opened.
         if !target.is_up || (target.entry.id == *id && target.born != born) {
             return;
         }
         if target.entry.id != *id {
-            self.target_replies(pending, lost, TargetReply::WrongIncarnation);
+            self.send_target_reply(pending, lost, TargetReply::WrongIncarnation);
             return;
         }
         let now = self.now;
@@ -157,10 +169,11 @@
         }
         let reply = match order {
             TargetCall::Start(order) => {
-                let (reply, begun) = self.start(index, token, &order);
-                // An order that was lost may be carried out late: no host is bound then.
-                if begun && !lost {
-                    self.check_drained(pending.host, index);
+                let (reply, started) = self.start_attempt(index, token, &order);
+                // A call whose reply is lost may be carried out late, when the bound no longer
+                // applies.
+                if started && !lost {
+                    self.check_start_in_hall(pending.host, index);
                 }
                 reply
             }
@@ -188,7 +201,7 @@
                     TargetReply::StaleToken { clock }
                 } else if target.unacknowledged_ends.is_empty() && wait_ms > 0 {
                     if !lost {
-                        self.renewals.push(LongPoll {
+                        self.long_polls.push(LongPoll {
                             pending,
                             target: index,
                             id: id.clone(),
@@ -202,21 +215,21 @@
                 }
             }
         };
-        self.target_replies(pending, lost, reply);
+        self.send_target_reply(pending, lost, reply);
     }
 
-    pub(super) fn target_replies(&mut self, pending: Pending, lost: bool, reply: TargetReply) {
+    pub(super) fn send_target_reply(&mut self, pending: Pending, lost: bool, reply: TargetReply) {
         if !lost {
-            let at = self.now + self.trip();
+            let at = self.now + self.random_latency_ms();
             if self.scenario.verbose {
-                println!("{at:6} host-{} hears {reply:?}", pending.host);
+                println!("{at:6} host-{} receives {reply:?}", pending.host);
             }
-            self.at(at, Happening::TargetReply { pending, reply });
+            self.schedule(at, SimEvent::TargetReply { pending, reply });
         }
     }
 
-    /// Starts a task; returns the reply, and whether it began.
-    pub(super) fn start(
+    /// Has a target handle a start; returns the reply, and `true` if the attempt was started.
+    pub(super) fn start_attempt(
         &mut self,
         index: usize,
         token: u64,
@@ -225,8 +238,8 @@
         let now = self.now;
         let job = order.id.task.split('.').next().unwrap_or_default();
         let (resources, estimate) = self.resources[job];
-        let spread: f64 = self.rng.random_range(-1.0..1.0) + self.rng.random_range(-0.5..0.5);
-        let work_ms = estimate as f64 * (spread * 0.5).exp();
+        let noise: f64 = self.rng.random_range(-1.0..1.0) + self.rng.random_range(-0.5..0.5);
+        let work_ms = estimate as f64 * (noise * 0.5).exp();
         let attempt = Attempt {
             resources,
             work_ms,
@@ -234,29 +247,31 @@
             will_fail: self.rng.random_bool(0.002),
         };
         let target = &mut self.targets[index];
-        let (reply, begun) = target.start(now, token, order, attempt);
-        if begun {
+        let (reply, started) = target.start(now, token, order, attempt);
+        if started {
             let id = target.entry.id.clone();
-            let over = target.used_cpu() > target.entry.capacity.cpu;
-            self.checks.record_start(now, &id, &order.id, over);
+            let over_capacity = target.used_cpu() > target.entry.capacity.cpu;
+            self.checks.record_start(now, &id, &order.id, over_capacity);
             self.check_leaving(&id);
-            self.plan_crash(index, &order.id);
+            self.schedule_task_crash(index, &order.id);
         }
-        (reply, begun)
+        (reply, started)
     }
 
-    /// A host in touch heard long ago that the target leaves.
+    /// Checks that a target on which an attempt started hasn't been leaving for longer than the
+    /// bound, unless the store was out since or calls may be late.
     pub(super) fn check_leaving(&mut self, id: &Name) {
         let Some(since) = self.leaving_since.get(id).copied() else {
             return;
         };
-        let calm = self.store_troubled < since && self.store_out == 0 && self.late == 0;
-        if calm && self.now > since + self.scenario.bounds.drain_ms {
+        let hosts_must_know =
+            self.last_store_outage < since && self.store_outages == 0 && self.late_calls == 0;
+        if hosts_must_know && self.now > since + self.scenario.bounds.drain_ms {
             self.checks.record_start_while_leaving(self.now, id);
         }
     }
 
-    pub(super) fn advance(&mut self, index: usize) {
+    pub(super) fn advance_target(&mut self, index: usize) {
         let ends = self.targets[index].advance(self.now);
         let id = self.targets[index].entry.id.clone();
         for ended in ends {
@@ -270,36 +285,46 @@
         }
     }
 
-    pub(super) fn step(&mut self) {
+    pub(super) fn advance_targets(&mut self) {
         for index in 0..self.targets.len() {
-            self.advance(index);
+            self.advance_target(index);
         }
-        let renewals = std::mem::take(&mut self.renewals);
-        for target_lease in renewals {
-            let target = &self.targets[target_lease.target];
-            let same_life = target.born == target_lease.born;
-            let same = target.is_up && same_life && target.entry.id == target_lease.id;
-            if same && target.unacknowledged_ends.is_empty() && target_lease.until > self.now {
-                self.renewals.push(target_lease);
-            } else if same && !self.target_cut(target_lease.pending.host, target_lease.target) {
-                let reply = self.targets[target_lease.target].listing(self.now);
-                self.target_replies(target_lease.pending, false, reply);
+        let long_polls = std::mem::take(&mut self.long_polls);
+        for long_poll in long_polls {
+            let target = &self.targets[long_poll.target];
+            let same_incarnation = target.born == long_poll.born;
+            let is_same_process =
+                target.is_up && same_incarnation && target.entry.id == long_poll.id;
+            if is_same_process
+                && target.unacknowledged_ends.is_empty()
+                && long_poll.until > self.now
+            {
+                self.long_polls.push(long_poll);
+            } else if is_same_process
+                && !self.is_target_cut(long_poll.pending.host, long_poll.target)
+            {
+                let reply = self.targets[long_poll.target].listing(self.now);
+                self.send_target_reply(long_poll.pending, false, reply);
             }
         }
-        self.at(self.now + STEP_MS, Happening::Step);
+        self.schedule(self.now + ADVANCE_INTERVAL_MS, SimEvent::AdvanceTargets);
     }
 
-    pub(super) fn peers_cut(&self, a: usize, b: usize) -> bool {
-        let halls = self.halls_cut(self.hall_of_host(a), self.hall_of_host(b));
-        halls || self.cut_peers.contains_key(&a) || self.cut_peers.contains_key(&b)
+    pub(super) fn are_peers_cut(&self, a: usize, b: usize) -> bool {
+        let halls = self.are_halls_cut(self.hall_of_host(a), self.hall_of_host(b));
+        halls
+            || self.hosts_cut_from_peers.contains_key(&a)
+            || self.hosts_cut_from_peers.contains_key(&b)
     }
 
-    pub(super) fn target_cut(&self, host: usize, target: usize) -> bool {
-        let halls = self.halls_cut(self.hall_of_host(host), self.hall_of_target(target));
-        halls || self.cut_targets.contains_key(&host) || self.cut_target.contains_key(&target)
+    pub(super) fn is_target_cut(&self, host: usize, target: usize) -> bool {
+        let halls = self.are_halls_cut(self.hall_of_host(host), self.hall_of_target(target));
+        halls
+            || self.hosts_cut_from_targets.contains_key(&host)
+            || self.cut_off_targets.contains_key(&target)
     }
 
-    pub(super) fn halls_cut(&self, a: usize, b: usize) -> bool {
-        a != b && (self.cut_halls.contains_key(&a) || self.cut_halls.contains_key(&b))
+    pub(super) fn are_halls_cut(&self, a: usize, b: usize) -> bool {
+        a != b && (self.cut_off_halls.contains_key(&a) || self.cut_off_halls.contains_key(&b))
     }
 }
--- a/crates/dispatcher-sim/src/world/building.rs
+++ b/crates/dispatcher-sim/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! New hosts and targets, and what the store tells of them.
+//! Creation of hosts and targets, and the store's contents that a new host reads.
 
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 
 use crate::target::Target;
 
-use super::parts::{Happening, Host};
+use super::model::{Host, SimEvent};
 use super::{World, EPOCH_MS, MAX_ATTEMPTS};
 
 impl World {
@@ -24,11 +24,11 @@
     }
 
     pub(super) fn new_target(&mut self, index: usize) -> Target {
-        self.lives += 1;
+        self.instances_created += 1;
         let hall = self.hall_of_target(index);
         let cores = if index % 3 == 0 { 24 } else { 16 };
         let entry = TargetEntry {
-            id: format!("t{index}-{}", self.lives).into(),
+            id: format!("t{index}-{}", self.instances_created).into(),
             address: format!("{index}").into(),
             hall: format!("hall-{hall}").into(),
             pool: "pool".into(),
@@ -40,16 +40,21 @@
             labels: vec!["a".into()],
             leaving: false,
         };
-        let rate = self.rng.random_range(0.98..=1.0);
-        let longest = self.scenario.bounds.max_target_lease_ms;
-        Target::new(entry, self.scenario.targets_enforce_capacity, rate, longest)
+        let clock_rate = self.rng.random_range(0.98..=1.0);
+        let max_lease_ms = self.scenario.bounds.max_target_lease_ms;
+        Target::new(
+            entry,
+            self.scenario.targets_enforce_capacity,
+            clock_rate,
+            max_lease_ms,
+        )
     }
 
     pub(super) fn new_host(&mut self, index: usize) -> Host {
-        self.lives += 1;
+        self.instances_created += 1;
         let hall = self.hall_of_host(index);
         let skew = self.rng.random_range(0..100);
-        let base = self.now;
+        let clock_start = self.now;
         let info = HostInfo {
             name: format!("host-{index}").into(),
             address: format!("127.0.0.1:{}", 1_000 + index)
@@ -67,50 +72,52 @@
             processor_weight: info.processor_weight,
             seeds: vec!["127.0.0.1:1000".parse().expect("an address")],
             bounds: self.scenario.bounds,
-            epoch_ms: EPOCH_MS + base + skew,
+            epoch_ms: EPOCH_MS + clock_start + skew,
             far_slowdown: 1.5,
             scheduling: self.scenario.scheduling,
             safeguards: self.scenario.safeguards,
         };
         Host {
             info,
-            dispatcher: Dispatcher::new(settings).expect("the bounds leave room"),
-            base,
-            life: self.lives,
+            dispatcher: Dispatcher::new(settings).expect("the bounds are valid"),
+            clock_start,
+            instance: self.instances_created,
             is_up: true,
-            frozen: false,
-            woke: 0,
-            tick_at: 0,
-            queue: Vec::new(),
-            callers: HashMap::new(),
-            peers: HashMap::new(),
+            is_suspended: false,
+            resumed_at: 0,
+            next_tick: 0,
+            deferred_events: Vec::new(),
+            waiting_callers: HashMap::new(),
+            waiting_peers: HashMap::new(),
         }
     }
 
-    /// Tells a new host what the store holds.
-    pub(super) fn welcome(&mut self, host: usize) {
-        let life = self.hosts[host].life;
-        self.at(self.now + 1, Happening::Tick { host, life });
-        if self.store_out == 0 && !self.hosts_tell_each_other() {
+    /// Schedules a new host's first tick, and its first reads of the store if hosts don't share
+    /// reads.
+    pub(super) fn send_initial_state(&mut self, host: usize) {
+        let instance = self.hosts[host].instance;
+        self.schedule(self.now + 1, SimEvent::Tick { host, instance });
+        if self.store_outages == 0 && !self.hosts_share_store_reads() {
             let hosts = self.hosts.iter().map(|host| host.info.clone()).collect();
             for event in [
                 Event::ConfigurationRead(configuration()),
                 self.draining_halls(),
-                Event::TargetsRead(self.list().into()),
+                Event::TargetsRead(self.target_entries().into()),
                 Event::HostsRead(hosts),
             ] {
-                self.tell(host, 10, event);
+                self.send_event(host, 10, event);
             }
         }
     }
 
-    pub(super) fn list(&self) -> Vec<TargetEntry> {
-        let listed = self.targets.iter().filter(|target| target.is_up);
-        listed.map(|target| target.entry.clone()).collect()
+    /// Returns the entries of all running targets.
+    pub(super) fn target_entries(&self) -> Vec<TargetEntry> {
+        let running = self.targets.iter().filter(|target| target.is_up);
+        running.map(|target| target.entry.clone()).collect()
     }
 }
 
-/// The configuration of all hosts: one queue.
+/// Returns the configuration of all hosts, with one queue.
 pub(super) fn configuration() -> Configuration {
     Configuration {
         version: 1,
--- a/crates/dispatcher-sim/tests/promises.rs
+++ b/crates/dispatcher-sim/tests/promises.rs
@@ -1,57 +1,58 @@
-//! The short form of the randomised runs.
+//! Randomised runs: the rules of `checks` hold under faults, and a disabled safety mechanism is
+//! detected.
 
 use gannetridge_dispatcher_core::Safeguards;
 use gannetridge_dispatcher_sim::checks::Rule;
 use gannetridge_dispatcher_sim::{run, Scenario};
 
-/// Seeds that once broke a promise.
-const FOUND: [u64; 5] = [3, 11, 25, 26, 5_193];
+/// Seeds of earlier violations.
+const REGRESSION_SEEDS: [u64; 5] = [3, 11, 25, 26, 5_193];
 
-/// Seeds that once broke a promise among hosts that tell each other what the store holds:
-/// jobs of hosts that had just started weren't answered in time.
-const FOUND_AMONG_MANY: [u64; 3] = [104, 107, 110];
+/// Seeds of earlier violations where hosts share their reads of the store: jobs of hosts that had
+/// just started weren't answered in time.
+const REGRESSION_SEEDS_WITH_SHARED_READS: [u64; 3] = [104, 107, 110];
 
-fn assert_kept(seeds: impl IntoIterator<Item = u64>) {
+fn assert_no_violations(seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
         let outcome = run(&Scenario::new(seed));
         let first = outcome.violations.first();
         assert_eq!(
             first,
             None,
-            "seed {seed}, {} in all",
+            "seed {seed}, {} violations",
             outcome.violations.len()
         );
     }
 }
 
 #[test]
-fn promises_are_kept_with_seeds_that_once_broke_them() {
-    assert_kept(FOUND);
+fn rules_hold_for_regression_seeds() {
+    assert_no_violations(REGRESSION_SEEDS);
 }
 
 #[test]
-fn promises_are_kept_with_the_first_seeds() {
-    assert_kept(1..=24);
+fn rules_hold_for_the_first_seeds() {
+    assert_no_violations(1..=24);
 }
 
 #[test]
-fn promises_are_kept_among_many_hosts_with_seeds_that_once_broke_them() {
-    for seed in FOUND_AMONG_MANY {
-        let wide = Scenario {
+fn rules_hold_with_shared_reads_for_regression_seeds() {
+    for seed in REGRESSION_SEEDS_WITH_SHARED_READS {
+        let many_hosts = Scenario {
             hosts_per_hall: 8,
             targets_per_hall: 12,
             jobs_per_s: 120.0,
             load_ms: 20_000,
             ..Scenario::new(seed)
         };
-        let outcome = run(&wide);
+        let outcome = run(&many_hosts);
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
     }
 }
 
-/// Halls are drained and taken back at any moment, one, two or all of them.
+/// Drains of one, two or all halls begin and end at any moment.
 #[test]
-fn promises_are_kept_while_halls_are_drained() {
+fn rules_hold_while_halls_are_drained() {
     for seed in 1..=24 {
         let outcome = run(&Scenario::with_drains(seed));
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
@@ -59,41 +60,40 @@
 }
 
 #[test]
-fn promises_are_kept_among_many_hosts_while_halls_are_drained() {
+fn rules_hold_among_many_hosts_while_halls_are_drained() {
     for seed in 1..=6 {
-        let outcome = run(&wide_with_drains(seed));
+        let outcome = run(&many_hosts_with_drains(seed));
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
     }
 }
 
-/// Seeds that once broke a promise while targets start again under their id: ends were
-/// acknowledged unheard, attempts taken for over that ran, more started than a target has, or jobs
-/// failed by ends that weren't heard.
-const FOUND_WITH_RESTARTS: [u64; 18] = [
+/// Seeds of earlier violations with restarting targets: ends acknowledged that were never listed,
+/// running attempts assumed to have ended, exceeded capacity, or unjustified failures of jobs.
+const REGRESSION_SEEDS_WITH_RESTARTS: [u64; 18] = [
     3, 29, 47, 48, 58, 114, 130, 131, 159, 185, 192, 201, 221, 252, 870, 1_314, 1_927, 2_418,
 ];
 
 #[test]
-fn promises_are_kept_with_restarts_and_seeds_that_once_broke_them() {
-    for seed in FOUND_WITH_RESTARTS {
+fn rules_hold_with_restarting_targets_for_regression_seeds() {
+    for seed in REGRESSION_SEEDS_WITH_RESTARTS {
         let outcome = run(&Scenario::with_restarts(seed));
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
     }
 }
 
-/// Targets crash and start again under their id, half of them at once, while attempts run
-/// there, calls are lost or carried out late, and their holders are cut off.
+/// Targets restart under their id while attempts run there, calls are lost or late, and holders
+/// are cut off.
 #[test]
-fn promises_are_kept_while_targets_start_again_under_their_id() {
+fn rules_hold_while_targets_restart_under_their_id() {
     for seed in 1..=24 {
         let outcome = run(&Scenario::with_restarts(seed));
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
     }
 }
 
-/// Tasks crash each target that starts them, beside faults of every kind.
+/// Some tasks crash each target that starts them, in addition to all other faults.
 #[test]
-fn promises_are_kept_while_tasks_crash_their_targets() {
+fn rules_hold_while_tasks_crash_their_targets() {
     for seed in 1..=24 {
         let outcome = run(&Scenario::with_crashing_tasks(seed));
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn crashes_that_nobody_counts_are_found() {
+fn uncounted_crashes_are_detected() {
     let safeguards = Safeguards {
         crashes_are_counted: false,
         ..Safeguards::default()
@@ -114,11 +114,11 @@
         let mut violations = outcome.violations.iter();
         violations.any(|v| v.rule == Rule::CrashingTasksNotRestarted)
     });
-    assert!(found, "nobody missed them");
+    assert!(found, "no seed detects it");
 }
 
 #[test]
-fn a_life_that_is_taken_for_the_one_before_is_found() {
+fn confused_incarnations_of_a_target_are_detected() {
     let safeguards = Safeguards {
         incarnations_are_distinguished: false,
         ..Safeguards::default()
@@ -133,12 +133,12 @@
             .iter()
             .any(|v| v.rule == Rule::AcknowledgedEndsListed)
     });
-    assert!(found, "nobody missed it");
+    assert!(found, "no seed detects it");
 }
 
-/// Tasks wait at the holders of targets, which die, freeze, are cut off, lose targets and drain.
+/// Tasks queue at holders, which are killed, suspended, cut off, lose targets or drain.
 #[test]
-fn promises_are_kept_while_tasks_wait_at_holders() {
+fn rules_hold_while_tasks_queue_at_holders() {
     for seed in 1..=24 {
         let outcome = run(&Scenario::with_queueing_at_holders(seed));
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
@@ -146,8 +146,8 @@
 }
 
 #[test]
-fn promises_are_kept_while_tasks_wait_at_holders_of_targets_that_start_again() {
-    // With seed 20 a job that waited while room was known wasn't answered before its deadline.
+fn rules_hold_while_tasks_queue_at_holders_and_targets_restart() {
+    // Seed 20: a job that waited despite known free capacity wasn't answered before its deadline.
     for seed in (1..=12).chain([20]) {
         let outcome = run(&Scenario {
             restart_gap_ms: 800,
@@ -157,9 +157,9 @@
     }
 }
 
-/// An owner that tries a task elsewhere before its holder said that it wasn't begun.
+/// An owner starts a task elsewhere before its holder has reported that it wasn't started.
 #[test]
-fn lost_attempts_that_are_not_waited_for_are_found_where_tasks_wait_at_holders() {
+fn retries_before_a_lost_attempt_ends_are_detected_where_tasks_queue_at_holders() {
     let safeguards = Safeguards {
         lost_attempts_are_waited_for: false,
         ..Safeguards::default()
@@ -174,10 +174,10 @@
             .iter()
             .any(|v| v.rule == Rule::NoConcurrentRuns)
     });
-    assert!(found, "nobody missed it");
+    assert!(found, "no seed detects it");
 }
 
-fn wide_with_drains(seed: u64) -> Scenario {
+fn many_hosts_with_drains(seed: u64) -> Scenario {
     Scenario {
         hosts_per_hall: 8,
         targets_per_hall: 12,
@@ -187,72 +187,80 @@
     }
 }
 
-/// Each way in which news of draining halls may go missing, and the rule that is then broken.
-const DRAINING_MUTANTS: [(&str, Remove, Rule); 5] = [
+/// Each way in which updates on draining halls may be lost, and the rule that this breaks.
+const DISABLED_DRAINING_MECHANISMS: [(&str, Disable, Rule); 5] = [
     (
-        "heeded",
+        "ignored where known",
         |s| s.draining_halls_are_skipped = false,
         Rule::Draining,
     ),
-    ("read", |s| s.draining_is_read = false, Rule::Draining),
     (
-        "followed",
+        "missing from full reads",
+        |s| s.draining_is_read = false,
+        Rule::Draining,
+    ),
+    (
+        "missing from changes",
         |s| s.draining_is_followed = false,
         Rule::Draining,
     ),
     (
-        "told",
+        "missing from shared reads",
         |s| s.draining_is_learned_from_peers = false,
         Rule::Draining,
     ),
-    ("ends", |s| s.draining_ends = false, Rule::ServiceAfterDrain),
+    (
+        "end of drain",
+        |s| s.draining_ends = false,
+        Rule::ServiceAfterDrain,
+    ),
 ];
 
 #[test]
-fn missing_news_of_draining_halls_are_found() {
-    for (name, remove, rule) in DRAINING_MUTANTS {
+fn lost_updates_on_draining_halls_are_detected() {
+    for (name, disable, rule) in DISABLED_DRAINING_MECHANISMS {
         let mut safeguards = Safeguards::default();
-        remove(&mut safeguards);
-        let breaks = |scenario: Scenario| {
+        disable(&mut safeguards);
+        let breaks_rule = |scenario: Scenario| {
             let outcome = run(&Scenario {
                 safeguards,
                 ..scenario
             });
             outcome.violations.iter().any(|v| v.rule == rule)
         };
-        let found = (1..=20)
-            .any(|seed| breaks(Scenario::with_drains(seed)) || breaks(wide_with_drains(seed)));
-        assert!(found, "nobody missed: {name}");
+        let found = (1..=20).any(|seed| {
+            breaks_rule(Scenario::with_drains(seed)) || breaks_rule(many_hosts_with_drains(seed))
+        });
+        assert!(found, "no seed detects: {name}");
     }
 }
 
-/// So many hosts that idle pairs of them hear of each other more rarely than
-/// owner leases last.
+/// With this many hosts, idle pairs exchange messages less often than owner leases last.
 #[test]
-fn promises_are_kept_among_many_hosts() {
+fn rules_hold_among_many_hosts() {
     for seed in 1..=3 {
-        let wide = Scenario {
+        let many_hosts = Scenario {
             hosts_per_hall: 8,
             targets_per_hall: 12,
             jobs_per_s: 120.0,
             load_ms: 12_000,
             ..Scenario::new(seed)
         };
-        let outcome = run(&wide);
+        let outcome = run(&many_hosts);
         assert_eq!(outcome.violations.first(), None, "seed {seed}");
     }
 }
 
 #[test]
 fn without_faults_all_jobs_are_completed() {
-    let calm = Scenario {
+    let without_faults = Scenario {
         fault_gap_ms: 0,
         jobs_per_s: 15.0,
         ..Scenario::new(1)
     };
-    let outcome = run(&calm);
+    let outcome = run(&without_faults);
     let completed = outcome.answers.get("completed").copied().unwrap_or(0);
-    // One in ten callers leaves, and one task in 500 fails.
+    // One in ten callers leaves, and one attempt in 500 fails.
     assert!(outcome.violations.is_empty());
     assert!(
         completed * 100 >= outcome.jobs * 88,
@@ -269,48 +277,52 @@
     assert_eq!(first.answers, second.answers);
 }
 
-type Remove = fn(&mut Safeguards);
+type Disable = fn(&mut Safeguards);
 
-/// Each mechanism, how it is taken out, and the promise that is then broken.
-const MUTANTS: [(&str, Remove, Rule); 7] = [
+/// Each safety mechanism, how to disable it, and the rule that this breaks.
+const DISABLED_MECHANISMS: [(&str, Disable, Rule); 7] = [
     (
         "owner leases",
         |s| s.owner_leases_expire = false,
         Rule::NoConcurrentRuns,
     ),
-    ("settling", |s| s.new_holders_settle = false, Rule::Capacity),
     (
-        "lost runs",
+        "settling of new holders",
+        |s| s.new_holders_settle = false,
+        Rule::Capacity,
+    ),
+    (
+        "wait for lost attempts",
         |s| s.lost_attempts_are_waited_for = false,
         Rule::NoConcurrentRuns,
     ),
     (
-        "doubt",
+        "unconfirmed starts",
         |s| s.unanswered_starts_count_as_running = false,
         Rule::NoConcurrentRuns,
     ),
     (
-        "leaving",
+        "leaving targets",
         |s| s.leaving_targets_are_skipped = false,
         Rule::Leaving,
     ),
     (
-        "begun",
+        "no refusal of started jobs",
         |s| s.started_jobs_are_not_refused = false,
         Rule::RefusedJobsNotStarted,
     ),
     (
-        "silence",
+        "wait for silent attempts",
         |s| s.silent_attempts_are_waited_for = false,
         Rule::NoConcurrentRuns,
     ),
 ];
 
 #[test]
-fn a_missing_mechanism_is_found() {
-    for (name, remove, rule) in MUTANTS {
+fn a_disabled_mechanism_is_detected() {
+    for (name, disable, rule) in DISABLED_MECHANISMS {
         let mut safeguards = Safeguards::default();
-        remove(&mut safeguards);
+        disable(&mut safeguards);
         let found = (1..=40).any(|seed| {
             let outcome = run(&Scenario {
                 safeguards,
@@ -318,6 +330,6 @@
             });
             outcome.violations.iter().any(|v| v.rule == rule)
         });
-        assert!(found, "nobody missed: {name}");
+        assert!(found, "no seed detects: {name}");
     }
 }
--- a/crates/dispatcher-sim/tests/two_holders.rs
+++ b/crates/dispatcher-sim/tests/two_holders.rs
@@ -1,4 +1,5 @@
-//! Two hosts and one target, call by call: orders of events in which both believe to hold it.
+//! Two hosts and one target, call by call: orders of events in which both hosts act as the holder
+//! of the target's lease.
 
 use gannetridge_dispatcher_core::configuration::{Configuration, Queue};
 use gannetridge_dispatcher_core::event::{ProcessStartTime, Submit, TargetEntry};
@@ -19,10 +20,11 @@
 };
 const EPOCH_MS: u64 = 1_760_000_000_000;
 const STEP_MS: Millis = 5;
-/// The target's cores, and those of a task, in thousandths: two tasks fit.
+/// The target's capacity in thousandths of a core; two tasks fit.
 const TARGET_CPU: u32 = 16_000;
+/// The CPU that a task uses, in thousandths of a core.
 const TASK_CPU: u32 = 7_000;
-/// How long a task runs, in ms.
+/// The estimate of a task and its usual running time.
 const WORK_MS: Millis = 900;
 
 const FIRST: usize = 0;
@@ -34,33 +36,33 @@
     call: CallId,
     token: u64,
     order: TargetCall,
-    /// The life of the target to which its connection leads.
+    /// The incarnation of the target to which its connection was opened.
     born: ProcessStartTime,
-    /// When the host gives its reply up.
-    given_up: Millis,
-    /// Until when the target waits for an end, if it was carried out.
+    /// When the host stops waiting for the reply.
+    timeout_at: Millis,
+    /// Until when the target, which has the call, waits for an end before it replies.
     waits_until: Option<Millis>,
 }
 
-/// Two hosts that don't know each other, and one target that doesn't guard its capacity.
+/// Two hosts that don't know each other, and one target that doesn't enforce its capacity.
 struct TwoHolders {
     hosts: [Dispatcher; 2],
-    /// Whether each host's calls come to the target.
+    /// For each host: its calls reach the target.
     reaches: [bool; 2],
-    /// Whether the target's replies come to each host.
-    hears: [bool; 2],
-    /// How long tasks run that start now, in ms.
+    /// For each host: the target's replies reach it.
+    receives: [bool; 2],
+    /// The running time of tasks that start from now on.
     work_ms: f64,
     target: Target,
     now: Millis,
     pending: Vec<Pending>,
-    /// Attempts that hosts took for over.
-    over: Vec<AttemptId>,
+    /// Attempts that hosts have recorded as ended.
+    ended: Vec<AttemptId>,
     jobs: u64,
-    most_cpu: u32,
+    max_cpu: u32,
 }
 
-fn entry() -> TargetEntry {
+fn target_entry() -> TargetEntry {
     TargetEntry {
         id: "target".into(),
         address: "127.0.0.1:1".into(),
@@ -98,7 +100,7 @@
         scheduling: Scheduling::default(),
         safeguards,
     };
-    let mut host = Dispatcher::new(settings).expect("the bounds leave room");
+    let mut host = Dispatcher::new(settings).expect("the bounds are valid");
     let queue = Queue {
         name: "turns".into(),
         host: "game.example".into(),
@@ -125,18 +127,18 @@
         Self {
             hosts,
             reaches: [true, true],
-            hears: [true, true],
+            receives: [true, true],
             work_ms: WORK_MS as f64,
-            target: Target::new(entry(), false, 1.0, BOUNDS.max_target_lease_ms),
+            target: Target::new(target_entry(), false, 1.0, BOUNDS.max_target_lease_ms),
             now: 0,
             pending: Vec::new(),
-            over: Vec::new(),
+            ended: Vec::new(),
             jobs: 0,
-            most_cpu: 0,
+            max_cpu: 0,
         }
     }
 
-    fn event(&mut self, host: usize, event: Event) {
+    fn handle_event(&mut self, host: usize, event: Event) {
         for action in self.hosts[host].handle(self.now, event) {
             match action {
                 Action::Target {
@@ -151,20 +153,20 @@
                     token,
                     order,
                     born: self.target.born,
-                    given_up: self.now + wait_ms,
+                    timeout_at: self.now + wait_ms,
                     waits_until: None,
                 }),
-                Action::Record(Decision::AttemptEnded { id, .. }) => self.over.push(id),
+                Action::Record(Decision::AttemptEnded { id, .. }) => self.ended.push(id),
                 _ => {}
             }
         }
     }
 
-    fn learns_of_target(&mut self, host: usize) {
-        self.event(host, Event::TargetsRead(vec![entry()].into()));
+    fn discover_target(&mut self, host: usize) {
+        self.handle_event(host, Event::TargetsRead(vec![target_entry()].into()));
     }
 
-    /// Submits a job of so many tasks.
+    /// Submits a job of `count` tasks.
     fn submit(&mut self, host: usize, count: u32) {
         self.jobs += 1;
         let submit = Submit {
@@ -186,35 +188,35 @@
             request_id: RequestId(self.jobs),
             submit: Box::new(submit),
         };
-        self.event(host, event);
+        self.handle_event(host, event);
     }
 
-    /// Carries out what hosts have sent, as far as it comes to the target, until no more does.
+    /// Carries out calls that reach the target, and delivers its replies, until none is due.
     fn deliver(&mut self) {
         while let Some(at) = self.pending.iter().position(|pending| self.is_due(pending)) {
             let mut pending = self.pending.remove(at);
             match self.carry_out(&pending) {
-                Some(reply) if self.hears[pending.host] => {
+                Some(reply) if self.receives[pending.host] => {
                     let (call, reply) = (pending.call, Ok(reply));
-                    self.event(pending.host, Event::TargetReply { call, reply });
+                    self.handle_event(pending.host, Event::TargetReply { call, reply });
                 }
                 Some(_) => {}
                 None => {
-                    pending.waits_until = Some(pending.given_up - REPLY_WAIT_MS);
+                    pending.waits_until = Some(pending.timeout_at - REPLY_WAIT_MS);
                     self.pending.push(pending);
                 }
             }
         }
     }
 
-    /// Returns whether the target carries a call out now, or answers one for which it waited.
+    /// Returns `true` if the target carries a call out now, or answers one that it held back.
     fn is_due(&self, pending: &Pending) -> bool {
-        let comes = self.reaches[pending.host] && pending.born == self.target.born;
-        let waited = |until| until <= self.now || !self.target.unacknowledged_ends.is_empty();
-        comes && pending.waits_until.is_none_or(waited)
+        let reaches_target = self.reaches[pending.host] && pending.born == self.target.born;
+        let has_waited = |until| until <= self.now || !self.target.unacknowledged_ends.is_empty();
+        reaches_target && pending.waits_until.is_none_or(has_waited)
     }
 
-    /// Returns the target's reply; none while it waits for an end.
+    /// Returns the target's reply, or `None` while it waits for an end.
     fn carry_out(&mut self, pending: &Pending) -> Option<TargetReply> {
         let (now, token) = (self.now, pending.token);
         match &pending.order {
@@ -226,7 +228,7 @@
                     will_fail: false,
                 };
                 let (reply, _) = self.target.start(now, token, order, attempt);
-                self.most_cpu = self.most_cpu.max(self.target.used_cpu());
+                self.max_cpu = self.max_cpu.max(self.target.used_cpu());
                 Some(reply)
             }
             TargetCall::Stop(id) => Some(self.target.stop(now, token, id).0),
@@ -244,193 +246,194 @@
                     let clock = self.target.clock(now) as Millis;
                     return Some(TargetReply::StaleToken { clock });
                 }
-                let answers = *wait_ms == 0 || !self.target.unacknowledged_ends.is_empty();
-                answers.then(|| self.target.listing(now))
+                let replies_now = *wait_ms == 0 || !self.target.unacknowledged_ends.is_empty();
+                replies_now.then(|| self.target.listing(now))
             }
         }
     }
 
-    /// Tells hosts of calls whose replies they have waited for long enough.
-    fn give_up_calls(&mut self) {
+    /// Fails calls whose replies hosts have waited for until the timeout.
+    fn time_out_calls(&mut self) {
         let now = self.now;
-        let given_up = |pending: &Pending| pending.given_up <= now;
-        while let Some(at) = self.pending.iter().position(given_up) {
+        let has_timed_out = |pending: &Pending| pending.timeout_at <= now;
+        while let Some(at) = self.pending.iter().position(has_timed_out) {
             let pending = self.pending.remove(at);
             let (call, reply) = (pending.call, Err(SendFailure::Unknown));
-            self.event(pending.host, Event::TargetReply { call, reply });
+            self.handle_event(pending.host, Event::TargetReply { call, reply });
         }
     }
 
-    /// Lets time pass.
-    fn pass(&mut self, ms: Millis) {
+    /// Advances the clock by `ms`, with all calls and timers that are due.
+    fn advance(&mut self, ms: Millis) {
         for _ in 0..ms / STEP_MS {
             self.now += STEP_MS;
             self.target.advance(self.now);
             self.deliver();
-            self.give_up_calls();
+            self.time_out_calls();
             for host in [FIRST, SECOND] {
-                self.event(host, Event::Tick);
+                self.handle_event(host, Event::Tick);
             }
             self.deliver();
         }
     }
 
-    /// Lets time pass until a host has just asked the target anew; returns when.
-    fn pass_until_asked(&mut self, host: usize) -> Millis {
-        self.pass(STEP_MS);
-        while !self.has_just_asked(host) {
-            self.pass(STEP_MS);
-            assert!(self.now < 10_000, "it asks again");
+    /// Advances the clock until a host has just called the target; returns that time.
+    fn advance_until_called(&mut self, host: usize) -> Millis {
+        self.advance(STEP_MS);
+        while !self.has_just_called(host) {
+            self.advance(STEP_MS);
+            assert!(self.now < 10_000, "the host calls again");
         }
         self.now
     }
 
-    /// Lets time pass until a task runs; returns its attempt.
-    fn pass_until_runs(&mut self, task: &str) -> AttemptId {
+    /// Advances the clock until a task runs; returns its attempt.
+    fn advance_until_running(&mut self, task: &str) -> AttemptId {
         loop {
             let mut running = self.target.attempts.keys();
             if let Some(id) = running.find(|id| &*id.task == task) {
                 return id.clone();
             }
-            self.pass(STEP_MS);
-            assert!(self.now < 10_000, "it is started");
+            self.advance(STEP_MS);
+            assert!(self.now < 10_000, "the task starts");
         }
     }
 
-    fn has_just_asked(&self, host: usize) -> bool {
-        let sent = |pending: &Pending| pending.given_up - REPLY_WAIT_MS;
+    fn has_just_called(&self, host: usize) -> bool {
+        let sent = |pending: &Pending| pending.timeout_at - REPLY_WAIT_MS;
         let mut pending = self.pending.iter();
         pending.any(|pending| pending.host == host && sent(pending) == self.now)
     }
 
-    /// The target crashes, and starts again at once under its id.
-    fn restart(&mut self) {
+    /// Crashes the target, which restarts immediately under its id.
+    fn restart_target(&mut self) {
         let born = ProcessStartTime(EPOCH_MS + self.now);
         self.target.restart(self.now, born);
     }
 }
 
-/// How long a reply is waited for beyond a renewal's own wait, in ms.
+/// How much longer a host waits for a reply than a renewal waits at the target.
 const REPLY_WAIT_MS: Millis = 100;
 
-/// Both hosts believe to hold an idle target: the second has taken it, which the first doesn't
-/// know yet. It starts again, and both have work for it. Returns the most that it ran.
-fn idle_target_of_two(safeguards: Safeguards) -> u32 {
+/// Both hosts act as the holder of an idle target: the second has acquired it, which the first
+/// doesn't know yet. It restarts, and both hosts have tasks for it. Returns the most CPU that its
+/// attempts used.
+fn max_cpu_of_idle_restarted_target(safeguards: Safeguards) -> u32 {
     let mut two = TwoHolders::new(safeguards);
-    two.learns_of_target(FIRST);
-    two.pass(1_500);
-    two.learns_of_target(SECOND);
-    two.pass(300);
-    two.restart();
-    two.pass(300);
-    // Both send before either hears.
+    two.discover_target(FIRST);
+    two.advance(1_500);
+    two.discover_target(SECOND);
+    two.advance(300);
+    two.restart_target();
+    two.advance(300);
+    // Both hosts send their starts before either receives a reply.
     two.submit(FIRST, 2);
     two.submit(SECOND, 2);
     two.deliver();
-    two.pass(2_000);
-    two.most_cpu
+    two.advance(2_000);
+    two.max_cpu
 }
 
-// Guards against more starts on a target than it has room for: it was idle, started again, and
-// knew no fencing token of the two hosts that believed to hold it.
+// Guards against exceeded capacity: a restarted target knows no fencing token of the two hosts that
+// act as its holder.
 #[test]
-fn an_idle_target_that_started_again_is_not_started_on_by_two_hosts() {
-    let most_cpu = idle_target_of_two(Safeguards::default());
-    assert_eq!(most_cpu, 2 * TASK_CPU, "two tasks fit, and two are run");
+fn two_hosts_do_not_exceed_the_capacity_of_a_restarted_idle_target() {
+    let max_cpu = max_cpu_of_idle_restarted_target(Safeguards::default());
+    assert_eq!(max_cpu, 2 * TASK_CPU, "two tasks fit, and two are run");
 }
 
 #[test]
-fn starts_on_an_idle_target_that_is_not_asked_first_are_found() {
-    let most_cpu = idle_target_of_two(Safeguards {
+fn starts_on_an_idle_target_without_a_prior_call_are_detected() {
+    let max_cpu = max_cpu_of_idle_restarted_target(Safeguards {
         idle_targets_are_asked: false,
         ..Safeguards::default()
     });
-    assert!(most_cpu > TARGET_CPU, "{most_cpu}");
+    assert!(max_cpu > TARGET_CPU, "{max_cpu}");
 }
 
-/// The second host tries to acquire a target from which it is cut off. The first holds it, and
-/// runs a task there. The target starts again, and before the first hears of the new life the
-/// second comes through. Returns the most that it ran.
-fn acquired_by_an_old_call(safeguards: Safeguards) -> u32 {
+/// The second host tries to acquire a target from which it is cut off. The first holds its lease
+/// and runs a task there. The target restarts, and a call of the second host reaches it before the
+/// first host learns of the new incarnation. Returns the most CPU that its attempts used.
+fn max_cpu_after_late_acquisition(safeguards: Safeguards) -> u32 {
     let mut two = TwoHolders::new(safeguards);
     two.reaches[SECOND] = false;
-    two.learns_of_target(SECOND);
-    two.pass(1_500);
-    two.learns_of_target(FIRST);
-    two.pass(200);
-    let asked = two.pass_until_asked(SECOND);
-    let asks_again = 2 * two.pass_until_asked(SECOND) - asked;
+    two.discover_target(SECOND);
+    two.advance(1_500);
+    two.discover_target(FIRST);
+    two.advance(200);
+    let called_at = two.advance_until_called(SECOND);
+    let next_call_at = 2 * two.advance_until_called(SECOND) - called_at;
     two.submit(FIRST, 1);
-    two.pass(asks_again - two.now - 2 * STEP_MS);
-    two.restart();
+    two.advance(next_call_at - two.now - 2 * STEP_MS);
+    two.restart_target();
     two.reaches[SECOND] = true;
     two.submit(SECOND, 2);
-    two.pass(3 * STEP_MS);
+    two.advance(3 * STEP_MS);
     assert_eq!(two.target.attempts.len(), 2, "the second host's tasks run");
     two.submit(FIRST, 1);
-    two.pass(1_000);
-    two.most_cpu
+    two.advance(1_000);
+    two.max_cpu
 }
 
-// Guards against more starts on a target than it has room for: the token by which a host acquired
-// its new life was older than that of the holder, whose starts it took as well.
+// Guards against exceeded capacity: if the token that acquires the new incarnation is older than
+// the holder's, the target accepts the starts of both hosts.
 #[test]
-fn a_host_that_acquires_a_target_anew_has_a_later_token_than_its_holder() {
-    let most_cpu = acquired_by_an_old_call(Safeguards::default());
-    assert_eq!(most_cpu, 2 * TASK_CPU, "two tasks fit, and two are run");
+fn a_host_acquires_a_new_incarnation_with_a_later_token_than_the_holder() {
+    let max_cpu = max_cpu_after_late_acquisition(Safeguards::default());
+    assert_eq!(max_cpu, 2 * TASK_CPU, "two tasks fit, and two are run");
 }
 
 #[test]
-fn a_target_that_is_acquired_with_an_old_token_is_found() {
-    let most_cpu = acquired_by_an_old_call(Safeguards {
+fn acquisition_with_an_old_token_is_detected() {
+    let max_cpu = max_cpu_after_late_acquisition(Safeguards {
         acquiring_tokens_are_fresh: false,
         ..Safeguards::default()
     });
-    assert!(most_cpu > TARGET_CPU, "{most_cpu}");
+    assert!(max_cpu > TARGET_CPU, "{max_cpu}");
 }
 
-/// A target starts again under its holder, whose next start comes to the new life with a time of
-/// the old clock. Another host acquires it, starts a task there, and is cut off from it. Returns
-/// whether the task still runs when that host takes it for over.
-fn runs_when_taken_for_over(safeguards: Safeguards) -> bool {
+/// A target restarts, and its holder's next start reaches the new incarnation with a lease time of
+/// the old clock. Another host acquires the target, starts a task there, and is cut off from it.
+/// Returns `true` if the task still runs when that host records its end.
+fn runs_after_recorded_end(safeguards: Safeguards) -> bool {
     let mut two = TwoHolders::new(safeguards);
-    two.learns_of_target(FIRST);
-    two.pass(1_500);
+    two.discover_target(FIRST);
+    two.advance(1_500);
     two.submit(FIRST, 1);
-    two.pass(100);
-    two.restart();
-    two.hears[FIRST] = false;
+    two.advance(100);
+    two.restart_target();
+    two.receives[FIRST] = false;
     two.work_ms = 60.0;
     two.submit(FIRST, 1);
     two.deliver();
     assert_eq!(
         two.target.attempts.len(),
         1,
-        "the start comes to the new life"
+        "the start reaches the new incarnation"
     );
     two.reaches[FIRST] = false;
     two.work_ms = WORK_MS as f64;
-    two.learns_of_target(SECOND);
+    two.discover_target(SECOND);
     two.submit(SECOND, 1);
-    let task = two.pass_until_runs("0000000000000003.0.0.0");
+    let task = two.advance_until_running("0000000000000003.0.0.0");
     two.reaches[SECOND] = false;
-    while !two.over.contains(&task) {
-        two.pass(STEP_MS);
-        assert!(two.now < 10_000, "it is taken for over");
+    while !two.ended.contains(&task) {
+        two.advance(STEP_MS);
+        assert!(two.now < 10_000, "the host records the end");
     }
     two.target.attempts.contains_key(&task)
 }
 
-// Guards against a second run of a task that was lost with its target: the lease that another host
-// had been granted there, by a time of an old clock, was longer than its holder reckoned.
+// Guards against a concurrent second run of a task on an unreachable target: a lease that another
+// host was granted there by the old clock may last longer than the new holder's own.
 #[test]
-fn what_another_host_was_granted_is_reckoned_with() {
-    assert!(!runs_when_taken_for_over(Safeguards::default()));
+fn a_new_holder_waits_for_leases_granted_to_other_hosts() {
+    assert!(!runs_after_recorded_end(Safeguards::default()));
 }
 
 #[test]
-fn a_lease_of_another_host_that_is_not_reckoned_with_is_found() {
-    assert!(runs_when_taken_for_over(Safeguards {
+fn ignoring_the_lease_of_another_host_is_detected() {
+    assert!(runs_after_recorded_end(Safeguards {
         earlier_leases_are_respected: false,
         ..Safeguards::default()
     }));
