--- a/crates/lab/src/account/plot.rs
+++ b/crates/lab/src/account/plot.rs
@@ -1,4 +1,4 @@
-//! Draws what was served in each window, the bound, and when hosts saw trouble.
+//! Draws the served share and its bound in each window, and when hosts logged disruptions.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,10 +12,10 @@
 
 use super::tally::WindowTally;
 
-/// The picture's size, in points.
-const SIZE: (u32, u32) = (900, 320);
-/// The colour of windows in which hosts saw trouble.
-const TROUBLE: RGBColor = RGBColor(230, 160, 60);
+/// The image's width and height.
+const SIZE_PX: (u32, u32) = (900, 320);
+/// The colour of windows with disruptions.
+const DISRUPTION_COLOUR: RGBColor = RGBColor(230, 160, 60);
 
 /// Draws windows of `window_ms` into an SVG file.
 ///
@@ -25,14 +25,14 @@
 pub fn draw(
     path: &Path,
     windows: &BTreeMap<i64, WindowTally>,
-    troubles: &BTreeMap<i64, usize>,
+    disruptions: &BTreeMap<i64, usize>,
     window_ms: i64,
 ) -> anyhow::Result<()> {
     let seconds = |at: i64| (at * window_ms) as f64 / 1_000.0;
     let (Some(first), Some(last)) = (windows.keys().next(), windows.keys().last()) else {
         return Err(anyhow!("no job in the logs"));
     };
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .margin(12)
@@ -42,13 +42,13 @@
     chart
         .configure_mesh()
         .x_desc("s")
-        .y_desc("part served (blue), bound (red)")
+        .y_desc("share served (blue), bound (red)")
         .draw()?;
-    let most = troubles.values().copied().max().unwrap_or(1).max(1);
-    chart.draw_series(troubles.iter().map(|(at, count)| {
-        let height = *count as f64 / most as f64;
+    let max_count = disruptions.values().copied().max().unwrap_or(1).max(1);
+    chart.draw_series(disruptions.iter().map(|(at, count)| {
+        let height = *count as f64 / max_count as f64;
         let corners = [(seconds(*at), 0.0), (seconds(at + 1), height)];
-        Rectangle::new(corners, TROUBLE.mix(0.35).filled())
+        Rectangle::new(corners, DISRUPTION_COLOUR.mix(0.35).filled())
     }))?;
     let points = |value: fn(&WindowTally) -> f64| {
         windows.iter().map(move |(at, window)| {
@@ -58,25 +58,27 @@
     };
     chart.draw_series(LineSeries::new(points(|window| window.bound), RED))?;
     chart.draw_series(LineSeries::new(
-        points(|window| window.counts.worth()),
+        points(|window| window.counts.value_share()),
         BLUE,
     ))?;
     root.present()?;
     Ok(())
 }
 
-/// Counts the lines of each window that tell of trouble: hosts that start, stop or fall
-/// silent, targets that do or are lost, a store without answer.
+/// Counts each window's lines that report a disruption: a host that starts, stops or falls silent,
+/// a target that falls silent, or an unreachable store.
 #[must_use]
-pub fn troubles(lines: &[Line], window_ms: i64) -> BTreeMap<i64, usize> {
-    let mut troubles = BTreeMap::new();
-    for line in lines.iter().filter(|line| is_trouble(line)) {
-        *troubles.entry(line.at.div_euclid(window_ms)).or_default() += 1;
+pub fn count_disruptions(lines: &[Line], window_ms: i64) -> BTreeMap<i64, usize> {
+    let mut disruptions = BTreeMap::new();
+    for line in lines.iter().filter(|line| is_disruption(line)) {
+        *disruptions
+            .entry(line.at.div_euclid(window_ms))
+            .or_default() += 1;
     }
-    troubles
+    disruptions
 }
 
-fn is_trouble(line: &Line) -> bool {
+fn is_disruption(line: &Line) -> bool {
     match line.event() {
         "stopping" | "session-lost" => true,
         "started" => line.text("task").is_empty(),
@@ -84,7 +86,7 @@
         "store" => line
             .fields
             .get("reachable")
-            .is_some_and(|there| there == false),
+            .is_some_and(|reachable| reachable == false),
         _ => false,
     }
 }
--- a/crates/lab/src/account/tally.rs
+++ b/crates/lab/src/account/tally.rs
@@ -1,35 +1,34 @@
-//! Adds outcomes up by window, queue and hall, and prints them.
+//! Adds up outcomes by window, queue and hall, and prints them.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use super::capacity::Window;
 use super::jobs::Job;
-use super::outcome::{judge, Outcome, Reason};
+use super::outcome::{classify, Outcome, Reason};
 
-/// What a late answer is worth, as a part of one on time: what the users' deployments
-/// pay for.
-const LATE_WORTH: f64 = 0.2;
+/// The value of a late answer as a share of one on time, as the users' deployments pay for it.
+const LATE_VALUE: f64 = 0.2;
 
-/// Outcomes of some jobs.
+/// The number of jobs with each outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Jobs.
-    pub asked: usize,
+    /// All jobs.
+    pub total: usize,
     /// Answered on time.
     pub on_time: usize,
     /// Answered late.
     pub late: usize,
     /// Refused as not run.
     pub refused: usize,
-    /// Neither.
+    /// Not answered, or answered too late to have value.
     pub unfinished: usize,
 }
 
 impl Counts {
     /// Adds a job's outcome.
     pub fn add(&mut self, outcome: Outcome) {
-        self.asked += 1;
+        self.total += 1;
         match outcome {
             Outcome::OnTime => self.on_time += 1,
             Outcome::Late(_) => self.late += 1,
@@ -38,50 +37,50 @@
         }
     }
 
-    /// Returns what was served, as a part of what was asked.
+    /// Returns the value of the answers, as a share of the value of all jobs on time.
     #[must_use]
-    pub fn worth(&self) -> f64 {
-        let served = self.on_time as f64 + LATE_WORTH * self.late as f64;
-        served / self.asked.max(1) as f64
+    pub fn value_share(&self) -> f64 {
+        let served = self.on_time as f64 + LATE_VALUE * self.late as f64;
+        served / self.total.max(1) as f64
     }
 }
 
-/// The heads of the columns in which [`Counts`] are printed.
-pub const COUNTS_HEAD: &str = " asked  on time   late  refused  unfinished   worth";
+/// The column headings of printed [`Counts`].
+pub const COUNTS_HEADER: &str = " asked  on time   late  refused  unfinished   worth";
 
 impl fmt::Display for Counts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "{:>6} {:>8} {:>6} {:>8} {:>11} {:>7.3}",
-            self.asked,
+            self.total,
             self.on_time,
             self.late,
             self.refused,
             self.unfinished,
-            self.worth()
+            self.value_share()
         )
     }
 }
 
-/// One window's outcomes and its bound.
+/// The outcomes of one window's jobs, and their bound.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WindowTally {
-    /// The outcomes.
+    /// The outcomes of the jobs accepted in it.
     pub counts: Counts,
-    /// The largest part of its jobs that could be served.
+    /// The largest share of its jobs that could have been served.
     pub bound: f64,
 }
 
 impl WindowTally {
-    /// Returns how many jobs' worth was lost beyond what the bound took.
-    fn lost_to_decisions(&self) -> f64 {
-        let asked = self.counts.asked as f64;
-        (asked * (self.bound - self.counts.worth())).max(0.0)
+    /// Returns the value lost, in jobs, that the bound doesn't explain.
+    fn lost_beyond_bound(&self) -> f64 {
+        let jobs = self.counts.total as f64;
+        (jobs * (self.bound - self.counts.value_share())).max(0.0)
     }
 }
 
-/// All outcomes.
+/// The outcomes of all jobs.
 #[derive(Debug, Default)]
 pub struct Tally {
     window_ms: i64,
@@ -90,11 +89,11 @@
     pub windows: BTreeMap<i64, WindowTally>,
     queues: BTreeMap<String, Counts>,
     halls: BTreeMap<String, Counts>,
-    /// The worth that each reason took, in jobs.
+    /// The value lost for each reason, in jobs.
     reasons: BTreeMap<(Loss, Reason), f64>,
 }
 
-/// How a job was lost, whole or in part.
+/// How the value of a job was lost, wholly or in part; the names are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Loss {
     Late,
@@ -103,20 +102,20 @@
 }
 
 impl Tally {
-    /// Adds jobs up; see [`judge`] for `trip_ms`.
+    /// Adds up the jobs' outcomes; see [`classify`] for `added_latency_ms`.
     #[must_use]
     pub fn new(
         jobs: &[Job],
         capacity: &BTreeMap<i64, Window>,
         window_ms: i64,
-        trip_ms: f64,
+        added_latency_ms: f64,
     ) -> Self {
         let mut tally = Self {
             window_ms,
             ..Self::default()
         };
         for job in jobs {
-            let outcome = judge(job, trip_ms);
+            let outcome = classify(job, added_latency_ms);
             let at = job.accepted.div_euclid(window_ms);
             tally.all.add(outcome);
             tally.windows.entry(at).or_default().counts.add(outcome);
@@ -130,9 +129,9 @@
                 .entry(job.hall.clone())
                 .or_default()
                 .add(outcome);
-            if let Some((loss, reason)) = loss(outcome) {
+            if let Some((loss, reason)) = loss_of(outcome) {
                 let lost = if loss == Loss::Late {
-                    1.0 - LATE_WORTH
+                    1.0 - LATE_VALUE
                 } else {
                     1.0
                 };
@@ -146,7 +145,7 @@
     }
 }
 
-fn loss(outcome: Outcome) -> Option<(Loss, Reason)> {
+fn loss_of(outcome: Outcome) -> Option<(Loss, Reason)> {
     match outcome {
         Outcome::OnTime => None,
         Outcome::Late(reason) => Some((Loss::Late, reason)),
@@ -157,7 +156,7 @@
 
 impl fmt::Display for Tally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{:>20}  {COUNTS_HEAD}  bound", "window, s")?;
+        writeln!(f, "{:>20}  {COUNTS_HEADER}  bound", "window, s")?;
         for (at, window) in &self.windows {
             let seconds = (at * self.window_ms) as f64 / 1_000.0;
             writeln!(
@@ -167,22 +166,22 @@
             )?;
         }
         for (title, parts) in [("queue", &self.queues), ("hall", &self.halls)] {
-            writeln!(f, "{title:>20}  {COUNTS_HEAD}")?;
+            writeln!(f, "{title:>20}  {COUNTS_HEADER}")?;
             for (name, counts) in parts {
                 writeln!(f, "{name:>20}  {counts}")?;
             }
         }
         writeln!(f, "{:>20}  {}", "all", self.all)?;
         let lost: f64 = self.reasons.values().sum();
-        let decisions: f64 = self
+        let beyond_bound: f64 = self
             .windows
             .values()
-            .map(WindowTally::lost_to_decisions)
+            .map(WindowTally::lost_beyond_bound)
             .sum();
-        let bound = (lost - decisions).max(0.0);
+        let bound = (lost - beyond_bound).max(0.0);
         writeln!(
             f,
-            "worth lost, in jobs: {lost:.1}; to the bound {bound:.1}, beyond it {decisions:.1}"
+            "worth lost, in jobs: {lost:.1}; to the bound {bound:.1}, beyond it {beyond_bound:.1}"
         )?;
         let mut reasons: Vec<_> = self.reasons.iter().collect();
         reasons.sort_by(|(_, a), (_, b)| b.total_cmp(a));
--- a/crates/lab/src/cmd/account.rs
+++ b/crates/lab/src/cmd/account.rs
@@ -1,4 +1,4 @@
-//! `gannetridge-lab account`: what became of jobs, from the logs of their hosts.
+//! `gannetridge-lab account`: outcomes of jobs, from the logs of their hosts.
 
 use std::path::PathBuf;
 
@@ -25,7 +25,7 @@
     window_ms: i64,
     #[options(
         no_short,
-        help = "what callers see beside a host's time, in ms",
+        help = "the latency that callers see in addition to a host's time, in ms",
         default = "7",
         meta = "N"
     )]
@@ -34,7 +34,11 @@
     svg: Option<PathBuf>,
 }
 
-/// Prints the account.
+/// Prints the outcomes, and draws them if asked to.
+///
+/// # Errors
+///
+/// Fails if the window isn't above 0, a log can't be read, or the SVG file can't be drawn.
 pub fn run(options: &Account) -> anyhow::Result<()> {
     if options.window_ms <= 0 {
         bail!("--window-ms has to be above 0");
@@ -44,13 +48,13 @@
         lines.extend(gannetridge_host_log::read(path)?);
     }
     lines.sort_by_key(|line| line.at);
-    let jobs = jobs::gather(&lines);
+    let jobs = jobs::collect(&lines);
     let capacity = capacity::windows(&jobs, options.window_ms);
     let tally = Tally::new(&jobs, &capacity, options.window_ms, options.trip_ms);
     print!("{tally}");
     if let Some(path) = &options.svg {
-        let troubles = plot::troubles(&lines, options.window_ms);
-        plot::draw(path, &tally.windows, &troubles, options.window_ms)?;
+        let disruptions = plot::count_disruptions(&lines, options.window_ms);
+        plot::draw(path, &tally.windows, &disruptions, options.window_ms)?;
     }
     Ok(())
 }
--- a/crates/lab/src/cmd/chaos.rs
+++ b/crates/lab/src/cmd/chaos.rs
@@ -1,4 +1,4 @@
-//! `gannetridge-lab chaos`: randomised runs with every fault.
+//! `gannetridge-lab chaos`: randomised runs of the entry host with every fault.
 
 use std::collections::BTreeMap;
 
@@ -26,11 +26,11 @@
     load_ms: u64,
 }
 
-/// What all seeds together came to.
+/// The totals of all seeds.
 #[derive(Default)]
 struct Sum {
     events: u64,
-    begun: u64,
+    started: u64,
     jobs: u64,
     complete: u64,
     failed: u64,
@@ -40,10 +40,14 @@
     changes: BTreeMap<&'static str, u64>,
     causes: BTreeMap<String, u64>,
     violations: BTreeMap<String, u64>,
-    bad_seeds: Vec<u64>,
+    failed_seeds: Vec<u64>,
 }
 
-/// Runs the seeds and prints what came of them. Fails on any violation.
+/// Runs the seeds and prints their totals.
+///
+/// # Errors
+///
+/// Fails if any seed has a violation.
 pub fn run(options: &Chaos) -> anyhow::Result<()> {
     let seeds: Vec<u64> = (options.seed..options.seed + options.seeds).collect();
     let load_ms = options.load_ms;
@@ -57,17 +61,17 @@
             Err(message) => {
                 println!("seed {seed}: invariant of the core: {message}");
                 *sum.violations.entry("panic".to_owned()).or_default() += 1;
-                sum.bad_seeds.push(*seed);
+                sum.failed_seeds.push(*seed);
                 continue;
             }
         };
         if !checks.violations.is_empty() {
-            sum.bad_seeds.push(*seed);
+            sum.failed_seeds.push(*seed);
             println!("seed {seed}: {}", checks.violations[0]);
         }
         let total = report.total();
         sum.events += report.events;
-        sum.begun += report.begun;
+        sum.started += report.begun;
         sum.jobs += total.jobs;
         sum.complete += total.complete;
         sum.failed += total.failed;
@@ -79,8 +83,8 @@
         add(&mut sum.violations, checks.counts());
     }
     print(&sum, seeds.len());
-    if !sum.bad_seeds.is_empty() {
-        bail!("promises broken with seeds {:?}", sum.bad_seeds);
+    if !sum.failed_seeds.is_empty() {
+        bail!("rules broken with seeds {:?}", sum.failed_seeds);
     }
     Ok(())
 }
@@ -93,8 +97,8 @@
 
 fn print(sum: &Sum, seeds: usize) {
     println!(
-        "seeds {seeds}, events {}, tasks begun {}",
-        sum.events, sum.begun
+        "seeds {seeds}, events {}, tasks started {}",
+        sum.events, sum.started
     );
     println!(
         "jobs {}, complete {}, failed {}, requests refused {}, differing final answers {}",
--- a/crates/lab/src/cmd/dispatch.rs
+++ b/crates/lab/src/cmd/dispatch.rs
@@ -1,11 +1,11 @@
-//! `gannetridge-lab dispatch`: randomised runs of the dispatcher.
+//! `gannetridge-lab dispatch`: randomised runs of the dispatcher with every fault.
 
 use std::collections::BTreeMap;
 
 use anyhow::bail;
 use gannetridge_dispatcher_core::settings::{Scheduling, WaitingAt, WaitingOrder};
 use gannetridge_dispatcher_sim::checks::Rule;
-use gannetridge_dispatcher_sim::{run as play, Outcome, Scenario};
+use gannetridge_dispatcher_sim::{run as simulate, Outcome, Scenario};
 use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
@@ -75,7 +75,11 @@
     verbose: bool,
 }
 
-/// Runs the seeds and prints what came of them. Fails on any violation.
+/// Runs the seeds and prints their totals.
+///
+/// # Errors
+///
+/// Fails if any seed has a violation.
 pub fn run(options: &Dispatch) -> anyhow::Result<()> {
     let seeds: Vec<u64> = (options.seed..options.seed + options.seeds).collect();
     let scheduling = Scheduling {
@@ -92,7 +96,7 @@
         ..Scheduling::default()
     };
     let outcomes = map(&seeds, |seed| {
-        play(&Scenario {
+        simulate(&Scenario {
             load_ms: options.load_ms,
             fault_gap_ms: options.fault_gap_ms,
             drain_gap_ms: options.drain_gap_ms,
@@ -108,7 +112,7 @@
     });
     let mut sum = Outcome::default();
     let mut rules: BTreeMap<Rule, u64> = BTreeMap::new();
-    let mut bad = Vec::new();
+    let mut failed_seeds = Vec::new();
     for (seed, outcome) in seeds.iter().zip(&outcomes) {
         sum.events += outcome.events;
         sum.starts += outcome.starts;
@@ -120,7 +124,7 @@
         }
         if let Some(first) = outcome.violations.first() {
             println!("seed {seed}: {first:?}");
-            bad.push(*seed);
+            failed_seeds.push(*seed);
         }
     }
     println!(
@@ -133,8 +137,8 @@
     println!("answers: {:?}", sum.answers);
     println!("faults: {:?}", sum.faults);
     println!("violations: {rules:?}");
-    if !bad.is_empty() {
-        bail!("promises broken with seeds {bad:?}");
+    if !failed_seeds.is_empty() {
+        bail!("rules broken with seeds {failed_seeds:?}");
     }
     Ok(())
 }
--- a/crates/lab/src/cmd/mutants.rs
+++ b/crates/lab/src/cmd/mutants.rs
@@ -1,4 +1,4 @@
-//! `gannetridge-lab mutants`: puts known faults back in, one at a time.
+//! `gannetridge-lab mutants`: disables safety mechanisms of the entry host, one at a time.
 
 use anyhow::bail;
 use gannetridge_entry_core::Safeguards;
@@ -25,46 +25,63 @@
     load_ms: u64,
 }
 
-/// Runs each mutant until it is found, and prints how many events it survived.
+/// Runs seeds with each mechanism disabled until a check detects it, and prints the number of
+/// events until then.
+///
+/// # Errors
+///
+/// Fails if a disabled mechanism stays undetected.
 pub fn run(options: &Mutants) -> anyhow::Result<()> {
-    let mut survivors = Vec::new();
+    let mut undetected = Vec::new();
     println!("| missing | found after events | seed | by |");
     println!("|---|---|---|---|");
     for mutant in ALL {
         let mut safeguards = Safeguards::default();
         (mutant.remove)(&mut safeguards);
-        match find(options, safeguards) {
-            Found::After { events, seed, by } => {
-                println!("| {} | {events} | {seed} | {by} |", mutant.name);
+        match search(options, safeguards) {
+            SearchResult::Detected {
+                events,
+                seed,
+                detected_by,
+            } => {
+                println!("| {} | {events} | {seed} | {detected_by} |", mutant.name);
             }
-            Found::Never { events } => {
+            SearchResult::NotDetected { events } => {
                 println!("| {} | not in {events} | - | - |", mutant.name);
-                survivors.push(mutant.name);
+                undetected.push(mutant.name);
             }
         }
     }
-    if !survivors.is_empty() {
-        bail!("not found: {survivors:?}");
+    if !undetected.is_empty() {
+        bail!("not found: {undetected:?}");
     }
     Ok(())
 }
 
-enum Found {
-    After { events: u64, seed: u64, by: String },
-    Never { events: u64 },
+/// The result of running seeds with a mechanism disabled.
+enum SearchResult {
+    Detected {
+        events: u64,
+        seed: u64,
+        detected_by: String,
+    },
+    NotDetected {
+        events: u64,
+    },
 }
 
-fn find(options: &Mutants, safeguards: Safeguards) -> Found {
-    const AT_ONCE: u64 = 16;
+/// Runs seeds in parallel batches until a check detects the disabled mechanism.
+fn search(options: &Mutants, safeguards: Safeguards) -> SearchResult {
+    const SEEDS_PER_BATCH: u64 = 16;
     let mut events = 0;
     let mut seed = options.seed;
     while seed < options.seed + options.seeds {
-        let seeds: Vec<u64> = (seed..seed + AT_ONCE).collect();
+        let seeds: Vec<u64> = (seed..seed + SEEDS_PER_BATCH).collect();
         let runs = map(&seeds, |seed| {
             run_caught(*seed, options.load_ms, safeguards)
         });
         for (seed, run) in seeds.iter().zip(runs) {
-            let by = match run {
+            let detected_by = match run {
                 Err(message) => Some(format!("core: {message}")),
                 Ok((report, checks)) => {
                     events += report.events;
@@ -72,15 +89,15 @@
                     kinds.cloned().reduce(|a, b| format!("{a}, {b}"))
                 }
             };
-            if let Some(by) = by {
-                return Found::After {
+            if let Some(detected_by) = detected_by {
+                return SearchResult::Detected {
                     events,
                     seed: *seed,
-                    by,
+                    detected_by,
                 };
             }
         }
-        seed += AT_ONCE;
+        seed += SEEDS_PER_BATCH;
     }
-    Found::Never { events }
+    SearchResult::NotDetected { events }
 }
--- a/crates/lab/src/cmd/placement.rs
+++ b/crates/lab/src/cmd/placement.rs
@@ -1,4 +1,4 @@
-//! `gannetridge-lab placement`: where work went and what waited, from the logs of the hosts.
+//! `gannetridge-lab placement`: placement of tasks and waiting times, from the logs of the hosts.
 
 use std::path::PathBuf;
 
@@ -27,7 +27,7 @@
     window_ms: i64,
     #[options(
         no_short,
-        help = "what callers see beside a host's time, in ms",
+        help = "the latency that callers see in addition to a host's time, in ms",
         default = "7",
         meta = "N"
     )]
@@ -35,6 +35,10 @@
 }
 
 /// Prints the table.
+///
+/// # Errors
+///
+/// Fails if the window isn't above 0 or a log can't be read.
 pub fn run(options: &Placement) -> anyhow::Result<()> {
     if options.window_ms <= 0 {
         bail!("--window-ms has to be above 0");
@@ -44,8 +48,8 @@
         lines.extend(gannetridge_host_log::read(path)?);
     }
     lines.sort_by_key(|line| line.at);
-    let jobs = jobs::gather(&lines);
-    let gaps = gaps::gather(&jobs);
+    let jobs = jobs::collect(&lines);
+    let gaps = gaps::collect(&jobs);
     let traffic = Traffic::new(&lines);
     let table = Table::new(&jobs, &gaps, traffic, options.window_ms, options.trip_ms);
     print!("{table}");
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,4 @@
-//! `gannetridge-lab`: the command line of both simulators, for runs by hand, and the
-//! accounts of what hosts' logs tell.
+//! `gannetridge-lab`: the command line of both simulators, and analyses of hosts' logs.
 
 mod account;
 mod cmd;
@@ -10,7 +9,7 @@
 use gannetridge_process::start::exit_code;
 use gumdrop::Options;
 
-/// Runs randomised runs around the real decision core.
+/// Simulates hosts with faults, and analyses hosts' logs.
 #[derive(Debug, Options)]
 struct Arguments {
     #[options(help = "print this help")]
@@ -22,20 +21,20 @@
 /// A subcommand.
 #[derive(Debug, Options)]
 enum Command {
-    /// What became of jobs, from hosts' logs.
-    #[options(help = "what became of jobs, from the logs of their hosts")]
+    /// Outcomes of jobs, from hosts' logs.
+    #[options(help = "outcomes of jobs, from the logs of their hosts")]
     Account(cmd::account::Account),
-    /// Randomised runs with every fault.
-    #[options(help = "randomised runs with every fault")]
+    /// Randomised runs of the entry host.
+    #[options(help = "randomised runs of the entry host with every fault")]
     Chaos(cmd::chaos::Chaos),
     /// Randomised runs of the dispatcher.
     #[options(help = "randomised runs of the dispatcher with every fault")]
     Dispatch(cmd::dispatch::Dispatch),
-    /// Puts known faults back in.
-    #[options(help = "show that the checks find mechanisms that are missing")]
+    /// Disables one safety mechanism at a time, and checks that the checks detect it.
+    #[options(help = "show that the checks detect disabled mechanisms of the entry host")]
     Mutants(cmd::mutants::Mutants),
-    /// Where work went, from hosts' logs.
-    #[options(help = "where work went and what waited, from the logs of the hosts")]
+    /// Placement of tasks and waiting times, from hosts' logs.
+    #[options(help = "placement of tasks and waiting times, from the logs of the hosts")]
     Placement(cmd::placement::Placement),
 }
 
--- a/crates/lab/src/placement/gaps.rs
+++ b/crates/lab/src/placement/gaps.rs
@@ -1,9 +1,9 @@
-//! How long a target stands between the end of an attempt and its next start.
+//! The time on a target between the end of an attempt and its next start.
 //!
-//! A gap counts as one while tasks wait if one task, of a queue whose tasks ran on that
-//! target, waited all the while. A task waits from its job's acceptance, or from the last
-//! end of an attempt of its job, to its start: what depends on earlier steps isn't taken
-//! to wait for them. A job without a start waits until its end.
+//! A gap counts as one while tasks wait if a single task, of a queue whose tasks ran on that
+//! target, waited throughout. A task waits from its job's acceptance, or from the last end of an
+//! attempt of its job, to its start, so that the time until earlier steps have ended doesn't count.
+//! A job without a start waits until its end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,54 +14,54 @@
 pub struct Gap {
     /// When the attempt ended, in ms of the logs' time.
     pub from: i64,
-    /// How long until the next start, in ms.
-    pub ms: i64,
-    /// Whether a task waited all the while.
+    /// The time until the next start, in ms.
+    pub duration_ms: i64,
+    /// One task waited throughout the gap.
     pub while_waiting: bool,
 }
 
-/// What ran on one target.
+/// The attempts on one target.
 #[derive(Debug, Default)]
-struct Runs<'a> {
-    /// When attempts were started.
+struct TargetRuns<'a> {
+    /// When attempts were started, in ascending order.
     starts: Vec<i64>,
     /// When attempts ended.
     ends: Vec<i64>,
-    /// The queues of their jobs.
+    /// The queues of the attempts' jobs.
     queues: BTreeSet<&'a str>,
 }
 
 /// Returns the gaps of all targets.
 #[must_use]
-pub fn gather(jobs: &[Job]) -> Vec<Gap> {
-    let waits = waits(jobs);
+pub fn collect(jobs: &[Job]) -> Vec<Gap> {
+    let waiting = waiting_spans(jobs);
     let mut gaps = Vec::new();
-    for runs in runs(jobs).into_values() {
+    for runs in runs_by_target(jobs).into_values() {
         for from in runs.ends {
             let next = runs.starts.partition_point(|start| *start < from);
             let Some(until) = runs.starts.get(next) else {
                 continue;
             };
-            let mut queues = runs.queues.iter().filter_map(|queue| waits.get(queue));
+            let mut queues = runs.queues.iter().filter_map(|queue| waiting.get(queue));
             gaps.push(Gap {
                 from,
-                ms: until - from,
-                while_waiting: queues.any(|waits| waits.cover(from, *until)),
+                duration_ms: until - from,
+                while_waiting: queues.any(|spans| spans.covers(from, *until)),
             });
         }
     }
     gaps
 }
 
-/// Returns what ran on each target, starts in the order of time.
-fn runs(jobs: &[Job]) -> BTreeMap<&str, Runs<'_>> {
-    let mut targets: BTreeMap<&str, Runs> = BTreeMap::new();
+/// Returns the attempts on each target.
+fn runs_by_target(jobs: &[Job]) -> BTreeMap<&str, TargetRuns<'_>> {
+    let mut targets: BTreeMap<&str, TargetRuns> = BTreeMap::new();
     for job in jobs {
         for attempt in &job.attempts {
             let runs = targets.entry(&attempt.target).or_default();
             runs.queues.insert(&job.queue);
             runs.starts.push(attempt.started);
-            runs.ends.extend(ended(attempt));
+            runs.ends.extend(end_time(attempt));
         }
     }
     for runs in targets.values_mut() {
@@ -70,20 +70,21 @@
     targets
 }
 
-fn ended(attempt: &Attempt) -> Option<i64> {
+/// Returns when an attempt ended, in ms of the logs' time.
+fn end_time(attempt: &Attempt) -> Option<i64> {
     let end = attempt.end.as_ref()?;
     Some(attempt.started + end.took_ms)
 }
 
-/// When tasks of one queue waited.
+/// The spans of time in which tasks of one queue waited.
 #[derive(Debug, Default)]
-struct Waits {
-    /// From when and until when, in the order of their beginnings.
+struct WaitingSpans {
+    /// Start and end of each, in the order of their starts.
     spans: Vec<(i64, i64)>,
 }
 
-impl Waits {
-    /// Sorts the spans, and lets each end no sooner than those before it.
+impl WaitingSpans {
+    /// Sorts the spans, and raises the end of each to the latest of those before it.
     fn sort(&mut self) {
         self.spans.sort_unstable();
         let mut latest = i64::MIN;
@@ -93,32 +94,32 @@
         }
     }
 
-    /// Returns whether one task waited all the while.
-    fn cover(&self, from: i64, until: i64) -> bool {
-        let begun = self.spans.partition_point(|(begin, _)| *begin <= from);
-        let last = begun.checked_sub(1).map(|at| self.spans[at]);
+    /// Returns `true` if one task waited throughout.
+    fn covers(&self, from: i64, until: i64) -> bool {
+        let candidates = self.spans.partition_point(|(start, _)| *start <= from);
+        let last = candidates.checked_sub(1).map(|at| self.spans[at]);
         last.is_some_and(|(_, latest)| latest >= until)
     }
 }
 
-/// Returns when tasks of each queue waited.
-fn waits(jobs: &[Job]) -> BTreeMap<&str, Waits> {
-    let mut queues: BTreeMap<&str, Waits> = BTreeMap::new();
+/// Returns the spans in which tasks of each queue waited.
+fn waiting_spans(jobs: &[Job]) -> BTreeMap<&str, WaitingSpans> {
+    let mut queues: BTreeMap<&str, WaitingSpans> = BTreeMap::new();
     for job in jobs {
         let spans = &mut queues.entry(&job.queue).or_default().spans;
         let started = job.attempts.iter();
-        spans.extend(started.map(|attempt| (waits_from(job, attempt), attempt.started)));
+        spans.extend(started.map(|attempt| (waiting_since(job, attempt), attempt.started)));
         if let (true, Some(end)) = (job.attempts.is_empty(), &job.end) {
             spans.push((job.accepted, job.accepted + end.took_ms));
         }
     }
-    queues.values_mut().for_each(Waits::sort);
+    queues.values_mut().for_each(WaitingSpans::sort);
     queues
 }
 
-/// Returns since when an attempt's task waited.
-fn waits_from(job: &Job, attempt: &Attempt) -> i64 {
-    let ends = job.attempts.iter().filter_map(ended);
-    let before = ends.filter(|end| *end <= attempt.started);
-    before.fold(job.accepted, i64::max)
+/// Returns from when on an attempt's task waited.
+fn waiting_since(job: &Job, attempt: &Attempt) -> i64 {
+    let ends = job.attempts.iter().filter_map(end_time);
+    let earlier_ends = ends.filter(|end| *end <= attempt.started);
+    earlier_ends.fold(job.accepted, i64::max)
 }
--- a/crates/lab/src/placement/mod.rs
+++ b/crates/lab/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! Where work went and what waited for it, from the logs of hosts alone.
+//! Placement of tasks and waiting times, from the logs of hosts alone.
 //!
-//! [`gaps`] finds how long targets stood without the next task, [`traffic`] adds up what
-//! hosts sent each other, and [`table`] adds up by window, queue, hall and host, and
-//! prints. Jobs and their outcomes are those of [`crate::account`].
+//! [`gaps`] finds how long targets were idle before the next start, [`traffic`] adds up the
+//! messages that hosts sent and received, and [`table`] adds up by window, queue, hall and host,
+//! and prints. Jobs and their outcomes are those of [`crate::account`].
 
 pub mod gaps;
 pub mod table;
--- a/crates/lab/src/placement/table.rs
+++ b/crates/lab/src/placement/table.rs
@@ -1,4 +1,4 @@
-//! Adds jobs, gaps and starts up, and prints them.
+//! Adds up jobs, gaps and starts, and prints them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -6,28 +6,28 @@
 use super::gaps::Gap;
 use super::traffic::Traffic;
 use crate::account::jobs::{Attempt, Job};
-use crate::account::outcome::{judge, Outcome, Reason};
-use crate::account::tally::{Counts, COUNTS_HEAD};
+use crate::account::outcome::{classify, Outcome, Reason};
+use crate::account::tally::{Counts, COUNTS_HEADER};
 
-/// Lengths of gaps, in ms.
+/// Durations of gaps in ms, in ascending order.
 #[derive(Debug, Default)]
-struct Lengths(Vec<i64>);
+struct Durations(Vec<i64>);
 
-impl Lengths {
+impl Durations {
     fn collect<'a>(gaps: impl Iterator<Item = &'a Gap>) -> Self {
-        let mut lengths: Vec<i64> = gaps.map(|gap| gap.ms).collect();
-        lengths.sort_unstable();
-        Self(lengths)
+        let mut durations: Vec<i64> = gaps.map(|gap| gap.duration_ms).collect();
+        durations.sort_unstable();
+        Self(durations)
     }
 
-    /// Returns the length that so many of 100 don't exceed.
+    /// Returns the duration that `percent` of 100 gaps don't exceed.
     fn percentile(&self, percent: usize) -> Option<i64> {
         let position = (self.0.len() * percent).div_ceil(100);
         self.0.get(position.checked_sub(1)?).copied()
     }
 }
 
-impl fmt::Display for Lengths {
+impl fmt::Display for Durations {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:>7}", self.0.len())?;
         for percent in [50, 75, 90] {
@@ -40,18 +40,18 @@
     }
 }
 
-/// For whose callers a holder started attempts.
+/// The attempts that a holder started, by where the owner of the job is.
 #[derive(Debug, Default)]
-struct Starts {
+struct StartCounts {
     own_host: u64,
     own_hall: u64,
     other_hall: u64,
-    /// The hall of one of the hosts isn't known.
+    /// The hall of the holder or of the owner isn't known.
     unknown: u64,
 }
 
-impl Starts {
-    fn add(&mut self, job: &Job, attempt: &Attempt) {
+impl StartCounts {
+    fn add_attempt(&mut self, job: &Job, attempt: &Attempt) {
         if attempt.holder == job.host {
             self.own_host += 1;
         } else if attempt.holder_hall.is_empty() || job.hall.is_empty() {
@@ -63,40 +63,40 @@
         }
     }
 
-    fn all(&self) -> u64 {
+    fn total(&self) -> u64 {
         self.own_host + self.own_hall + self.other_hall + self.unknown
     }
 }
 
-/// What one host took and started.
+/// The jobs that one host accepted, and the attempts that it started.
 #[derive(Debug, Default)]
 struct HostTally {
     hall: String,
-    taken: Counts,
+    accepted: Counts,
     passed_over: usize,
-    starts: Starts,
-    /// The targets on which it started something.
+    starts: StartCounts,
+    /// The targets on which it started attempts.
     targets: BTreeSet<String>,
 }
 
-/// The gaps that ended in one window, or all.
+/// The gaps that began in one window, or in all.
 #[derive(Debug, Default)]
 struct GapTally {
-    all: Lengths,
-    while_waiting: Lengths,
+    all: Durations,
+    while_waiting: Durations,
 }
 
 impl GapTally {
     fn new(gaps: &[&Gap]) -> Self {
         let waiting = gaps.iter().copied().filter(|gap| gap.while_waiting);
         Self {
-            all: Lengths::collect(gaps.iter().copied()),
-            while_waiting: Lengths::collect(waiting),
+            all: Durations::collect(gaps.iter().copied()),
+            while_waiting: Durations::collect(waiting),
         }
     }
 }
 
-/// The whole table.
+/// All sums, by window, queue, hall and host.
 #[derive(Debug)]
 pub struct Table {
     window_ms: i64,
@@ -107,14 +107,20 @@
     hosts: BTreeMap<String, HostTally>,
     all: Counts,
     gaps: GapTally,
-    starts: Starts,
+    starts: StartCounts,
     traffic: Traffic,
 }
 
 impl Table {
-    /// Adds everything up; see [`judge`] for `trip_ms`.
+    /// Adds up jobs, gaps and traffic; see [`classify`] for `added_latency_ms`.
     #[must_use]
-    pub fn new(jobs: &[Job], gaps: &[Gap], traffic: Traffic, window_ms: i64, trip_ms: f64) -> Self {
+    pub fn new(
+        jobs: &[Job],
+        gaps: &[Gap],
+        traffic: Traffic,
+        window_ms: i64,
+        added_latency_ms: f64,
+    ) -> Self {
         let mut table = Self {
             window_ms,
             windows: BTreeMap::new(),
@@ -123,11 +129,11 @@
             hosts: BTreeMap::new(),
             all: Counts::default(),
             gaps: GapTally::new(&gaps.iter().collect::<Vec<_>>()),
-            starts: Starts::default(),
+            starts: StartCounts::default(),
             traffic,
         };
         for job in jobs {
-            table.add(job, judge(job, trip_ms));
+            table.add_job(job, classify(job, added_latency_ms));
         }
         let mut by_window: BTreeMap<i64, Vec<&Gap>> = BTreeMap::new();
         for gap in gaps {
@@ -140,7 +146,7 @@
         table
     }
 
-    fn add(&mut self, job: &Job, outcome: Outcome) {
+    fn add_job(&mut self, job: &Job, outcome: Outcome) {
         let window = job.accepted.div_euclid(self.window_ms);
         let queue = self.queues.entry(job.queue.clone()).or_default();
         let hall = self.halls.entry(job.hall.clone()).or_default();
@@ -149,21 +155,21 @@
         let passed_over = outcome == Outcome::Refused(Reason::PassedOver);
         host.passed_over += usize::from(passed_over);
         let by_window = &mut self.windows.entry(window).or_default().0;
-        for counts in [by_window, queue, hall, &mut host.taken, &mut self.all] {
+        for counts in [by_window, queue, hall, &mut host.accepted, &mut self.all] {
             counts.add(outcome);
         }
         for attempt in &job.attempts {
-            self.starts.add(job, attempt);
+            self.starts.add_attempt(job, attempt);
             let holder = self.hosts.entry(attempt.holder.clone()).or_default();
             holder.hall.clone_from(&attempt.holder_hall);
-            holder.starts.add(job, attempt);
+            holder.starts.add_attempt(job, attempt);
             holder.targets.insert(attempt.target.clone());
         }
     }
 
     fn write_windows(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let gaps = "gaps: 50 75 90 of 100, ms  while tasks wait";
-        writeln!(f, "{:>20}  {COUNTS_HEAD}  {gaps}", "window, s")?;
+        writeln!(f, "{:>20}  {COUNTS_HEADER}  {gaps}", "window, s")?;
         for (at, (counts, gaps)) in &self.windows {
             let seconds = (at * self.window_ms) as f64 / 1_000.0;
             writeln!(
@@ -181,16 +187,16 @@
 
     fn write_hosts(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let head = "late  passed over  targets  started for itself    hall  others  hall of it";
-        writeln!(f, "{:>28}  {COUNTS_HEAD}  {head}", "host")?;
+        writeln!(f, "{:>28}  {COUNTS_HEADER}  {head}", "host")?;
         let mut hosts: Vec<_> = self.hosts.iter().collect();
         hosts.sort_by_key(|(_, host)| std::cmp::Reverse(host.targets.len()));
         for (name, host) in hosts {
-            let share = |part: usize| part as f64 / host.taken.asked.max(1) as f64;
+            let share = |part: usize| part as f64 / host.accepted.total.max(1) as f64;
             writeln!(
                 f,
                 "{name:>28}  {}  {:>4.2}  {:>11.2}  {:>7}  {:>18}  {:>6}  {:>6}  {}",
-                host.taken,
-                share(host.taken.late),
+                host.accepted,
+                share(host.accepted.late),
                 share(host.passed_over),
                 host.targets.len(),
                 host.starts.own_host,
@@ -207,28 +213,28 @@
         writeln!(
             f,
             "starts: {}, for callers of the host itself {}, of its hall {}, of other halls {}, of unknown halls {}",
-            starts.all(),
+            starts.total(),
             starts.own_host,
             starts.own_hall,
             starts.other_hall,
             starts.unknown
         )?;
-        let each = |count: u64| count as f64 / starts.all().max(1) as f64;
+        let per_start = |count: u64| count as f64 / starts.total().max(1) as f64;
         let traffic = &self.traffic;
         writeln!(
             f,
             "peer-asked: {} lines ({:.2} a start), {} tasks ({:.2} a start)",
             traffic.asked_lines,
-            each(traffic.asked_lines),
+            per_start(traffic.asked_lines),
             traffic.asked_tasks,
-            each(traffic.asked_tasks)
+            per_start(traffic.asked_tasks)
         )?;
         writeln!(
             f,
             "messages up to the last traffic lines, and for each start:"
         )?;
         for (kind, count) in &traffic.messages {
-            writeln!(f, "{kind:>24} {count:>9} {:>7.2}", each(*count))?;
+            writeln!(f, "{kind:>24} {count:>9} {:>7.2}", per_start(*count))?;
         }
         Ok(())
     }
@@ -238,7 +244,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.write_windows(f)?;
         for (title, parts) in [("queue", &self.queues), ("hall", &self.halls)] {
-            writeln!(f, "{title:>20}  {COUNTS_HEAD}")?;
+            writeln!(f, "{title:>20}  {COUNTS_HEADER}")?;
             for (name, counts) in parts {
                 writeln!(f, "{name:>20}  {counts}")?;
             }
--- a/crates/lab/tests/account.rs
+++ b/crates/lab/tests/account.rs
@@ -1,9 +1,9 @@
-//! The account of hosts' logs, by its command.
+//! The outcomes of jobs in hosts' logs, by the command `account`.
 
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Two hosts, as a played day's log shows them. Targets hold one task each.
+/// The log of two hosts. Targets run one task each.
 const LOG: &str = r#"
    0.0000 h1 {"event":"started","name":"h1","hall":"north"}
    0.0000 h2 {"event":"started","name":"h2","hall":"south"}
@@ -29,10 +29,10 @@
 no line of a host
 "#;
 
-/// Writes the log into a folder of the test's own; returns it.
-fn folder(name: &str) -> PathBuf {
+/// Writes the log into a directory of the test, and returns the directory.
+fn log_dir(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     std::fs::write(dir.join("day.log"), LOG).expect("a file");
     dir
 }
@@ -47,12 +47,12 @@
 
 #[test]
 fn each_job_has_one_outcome_and_one_reason() {
-    insta::assert_snapshot!(account(&folder("account"), &[]));
+    insta::assert_snapshot!(account(&log_dir("account"), &[]));
 }
 
 #[test]
 fn windows_are_drawn() {
-    let dir = folder("account-drawn");
+    let dir = log_dir("account-drawn");
     account(&dir, &["--svg", "day.svg"]);
     let svg = std::fs::read_to_string(dir.join("day.svg")).expect("a picture");
     assert!(
--- a/crates/lab/tests/placement.rs
+++ b/crates/lab/tests/placement.rs
@@ -1,11 +1,11 @@
-//! The table of where work went, by its command.
+//! The table of placement and waiting times, by the command `placement`.
 
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Three hosts of two halls. `t1` runs `bb` 30 ms after `aa` ended, for which `bb` waited
-/// all the while, and `cc` 300 ms after `bb`, which came only then. `h1` is started twice,
-/// so that its counts begin again.
+/// Three hosts of two halls. `t1` runs `bb` 30 ms after the end of `aa`, for which `bb` waited
+/// throughout, and `cc` 300 ms after the end of `bb`, which was accepted only then. `h1` restarts,
+/// so that its counts begin again at 0.
 const LOG: &str = r#"
    0.0000 h1 {"event":"started","name":"h1","hall":"north"}
    0.0000 h2 {"event":"started","name":"h2","hall":"north"}
@@ -31,9 +31,9 @@
 "#;
 
 #[test]
-fn what_waited_and_where_it_ran_is_told() {
+fn placement_and_waiting_times_are_printed() {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("placement");
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     std::fs::write(dir.join("day.log"), LOG).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_gannetridge-lab"));
     let command = command.args(["placement", "day.log"]).current_dir(&dir);
