--- a/crates/entry-core/src/action.rs
+++ b/crates/entry-core/src/action.rs
@@ -1,4 +1,5 @@
-//! What a host wants done.
+//! Actions that a [`Host`](crate::Host) asks its environment to perform, and the notes
+//! that it emits for logs and metrics.
 
 use gannetridge_entry_config::Urgency;
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
@@ -9,29 +10,29 @@
 
 use crate::event::{CallId, ChangeAnswer, Token};
 
-/// A message that brought nobody nearer to an answer.
+/// A kind of message that didn't contribute to an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Waste {
     /// A target refused a start.
     Bounced,
-    /// A start or question failed on the way.
+    /// A request to a target or a peer got no usable reply.
     Lost,
-    /// A target was asked again.
+    /// A target was queried about a run.
     AskedAgain,
-    /// A submission was passed to a host that doesn't hold its shard.
+    /// A submission was forwarded to a host that doesn't hold its shard.
     Misrouted,
-    /// A peer had nothing to lend.
+    /// A borrow request brought no slots.
     BorrowedInVain,
-    /// A peer lent slots that no task used.
+    /// All slots of a loan were returned unused.
     LentInVain,
-    /// A submission arrived again.
+    /// A submission that the ledger knows was received again.
     Resubmitted,
-    /// A task's result came when its job had failed.
+    /// A task's result came after its job had ended.
     Late,
 }
 
 impl Waste {
-    /// All kinds.
+    /// All kinds, in the order of their declaration.
     pub const ALL: [Self; 8] = [
         Self::Bounced,
         Self::Lost,
@@ -43,7 +44,7 @@
         Self::Late,
     ];
 
-    /// Returns the name that metrics use.
+    /// Returns the value of the metrics' label.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -59,121 +60,121 @@
     }
 }
 
-/// Something to count or to write to the log.
+/// An occurrence to be counted in metrics or written to the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// A job got its final answer.
+    /// A job ended with a final answer.
     Finished {
-        /// The account.
+        /// The client account.
         account: Name,
-        /// Its urgency.
+        /// The account's urgency.
         urgency: Urgency,
-        /// Whether the answer is complete.
+        /// True if all tasks have results, false if the job failed.
         complete: bool,
-        /// From the owner's first sight of the job to its answer, in µs.
+        /// From the job's acceptance by its owner to its answer, in µs.
         response_us: u64,
-        /// The slowest task's own time, in µs.
+        /// The run time of the slowest task, in µs.
         ideal_us: u64,
     },
     /// A request was refused as not run.
     Refused {
-        /// The account.
+        /// The client account.
         account: Name,
     },
-    /// A message was wasted.
+    /// A message didn't contribute to an answer.
     Wasted(Waste),
-    /// A shard came under this host's ownership.
+    /// This host acquired a shard.
     ShardAcquired {
-        /// The shard.
+        /// The shard's index within the hall.
         shard: u16,
-        /// The epoch.
+        /// The shard's epoch.
         epoch: u64,
     },
-    /// A shard left this host's ownership.
+    /// This host handed a shard over or lost it.
     ShardReleased {
-        /// The shard.
+        /// The shard's index within the hall.
         shard: u16,
     },
     /// A configuration came into force.
     ConfigInForce {
-        /// Its version.
+        /// The configuration's version.
         version: u64,
     },
 }
 
-/// What a host wants done.
+/// A request of a host to its environment.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Answer a caller.
     Answer {
-        /// The request.
+        /// Identifies the caller's request.
         token: Token,
-        /// The answer.
+        /// The answer to send.
         answer: Answer,
     },
     /// Reply to a peer.
     Reply {
-        /// The request.
+        /// Identifies the peer's request.
         token: Token,
-        /// The reply.
+        /// The reply to send.
         reply: PeerReply,
     },
     /// Send a request to a peer.
     Call {
-        /// The call.
+        /// Identifies the call in its [`PeerReply`](crate::Event::PeerReply).
         call: CallId,
-        /// The peer's address.
+        /// The peer's address, `ip:port`.
         address: Name,
-        /// The request.
+        /// The request to send.
         request: PeerRequest,
-        /// How long to wait for the reply, in ms.
+        /// The timeout for the reply, in ms.
         wait_ms: u64,
     },
     /// Start a task on a target.
     Start {
-        /// The call.
+        /// Identifies the call in its [`TaskReply`](crate::Event::TaskReply).
         call: CallId,
         /// The target's name.
         target: Name,
-        /// The target's address.
+        /// The target's address, `ip:port`.
         address: Name,
-        /// The task.
+        /// The task to start.
         start: Box<StartTask>,
-        /// How long to wait for the task's end, in ms.
+        /// The timeout for the end of the task, in ms.
         wait_ms: u64,
     },
-    /// Ask a target about a task.
+    /// Query a target about a task.
     Ask {
-        /// The call.
+        /// Identifies the call in its [`TaskReply`](crate::Event::TaskReply).
         call: CallId,
-        /// The target's address.
+        /// The target's address, `ip:port`.
         address: Name,
-        /// The question.
+        /// The query to send.
         ask: AskTask,
-        /// How long to wait for the reply, in ms.
+        /// The timeout for the reply, in ms.
         wait_ms: u64,
     },
-    /// Use the platform's table.
+    /// Perform an operation on the platform's table.
     Table {
-        /// The call.
+        /// Identifies the call in its [`TableReply`](crate::Event::TableReply).
         call: CallId,
-        /// The operation.
+        /// The operation to perform.
         op: TableOp,
     },
-    /// Read the platform's list.
+    /// Read the platform's list of targets.
     ReadList {
-        /// Only changes since this version are wanted; 0 for the whole list.
+        /// Only changes since this version are wanted; 0 requests the whole list.
         after: u64,
     },
-    /// Answer an operator.
+    /// Answer an operator's change request.
     ChangeAnswer {
-        /// The request.
+        /// Identifies the operator's request.
         token: Token,
-        /// The answer.
+        /// The answer to send.
         answer: ChangeAnswer,
     },
-    /// Count or log.
+    /// Count or log an occurrence.
     Note(Note),
-    /// The host has nothing left to do and may end.
+    /// The host has shut down; the process may exit.
     Stopped,
 }
--- a/crates/entry-core/src/admission.rs
+++ b/crates/entry-core/src/admission.rs
@@ -1,41 +1,41 @@
-//! Whether a whole job can be finished before its deadline.
+//! Admission control: estimates whether a whole job can end before its deadline.
 
 use gannetridge_entry_wire::Time;
 
-/// Part of the time left that a job's estimate may use. Chosen, not measured.
+/// Fraction of the time left that a job's estimate may use.
 const MARGIN: f64 = 0.95;
 
-/// What a job would have to share a host's slots with.
+/// The slots available to a job and the work ahead of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Slots that the job may use.
+    /// Number of slots that the job may use.
     pub slots: f64,
-    /// Work that goes before it, in ms of one slot.
+    /// Work queued ahead of the job, in ms of one slot.
     pub ahead_ms: f64,
 }
 
-/// What a job needs.
+/// The resources that a job needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need {
-    /// All its tasks, in ms of one slot.
+    /// Run time of all tasks together, in ms of one slot.
     pub work_ms: f64,
-    /// Its longest task, in ms.
+    /// Run time of the longest task, in ms.
     pub longest_ms: f64,
 }
 
-/// The verdict on a job.
+/// The decision on a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It can be finished in time.
+    /// The job can end in time.
     Accept,
-    /// It can't; after this many ms a job like it could.
+    /// The job can't end in time.
     Refuse {
-        /// How much too late it would end, in ms.
+        /// How long after the usable time the job would end, in ms; at most 5 s.
         late_ms: u64,
     },
 }
 
-/// Decides on a whole job.
+/// Decides whether a job can end before its deadline.
 #[must_use]
 pub fn judge(load: Load, need: Need, now: Time, deadline: Time) -> Verdict {
     let left_ms = deadline.micros_since(now) as f64 / 1_000.0 * MARGIN;
@@ -44,8 +44,7 @@
     if end_ms <= left_ms {
         return Verdict::Accept;
     }
-    // Without slots the estimate is endless; the caller asks again soon. Chosen, not
-    // measured.
+    // Without slots the estimate is unbounded; this keeps the caller's retry short.
     const LONGEST_MS: f64 = 5_000.0;
     let late_ms = (end_ms - left_ms).min(LONGEST_MS);
     Verdict::Refuse {
@@ -53,7 +52,7 @@
     }
 }
 
-/// Learns how long tasks run compared with what is expected of them.
+/// Moving average of the tasks' run times relative to the expected ones.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     ratio: f32,
@@ -66,18 +65,18 @@
 }
 
 impl Pace {
-    /// Weight of the newest task in the moving average. Chosen, not measured.
+    /// Weight of the latest task in the moving average.
     const NEWEST_WEIGHT: f32 = 0.01;
-    /// The least ratio that is believed. Chosen, not measured.
+    /// Lower bound of the average.
     const LEAST: f32 = 0.05;
 
-    /// Notes a task's time over the expected one.
+    /// Adds a task's run time over the expected one.
     pub fn learn(&mut self, ratio: f32) {
         let moved = self.ratio + (ratio - self.ratio) * Self::NEWEST_WEIGHT;
         self.ratio = moved.max(Self::LEAST);
     }
 
-    /// Returns the usual time of a task over the expected one.
+    /// Returns the average run time over the expected one.
     #[must_use]
     pub fn ratio(self) -> f32 {
         self.ratio
--- a/crates/entry-core/src/charts.rs
+++ b/crates/entry-core/src/charts.rs
@@ -1,4 +1,5 @@
-//! The charts of this crate, read once from their files.
+//! The state charts of this crate. Their transitions are read from `charts/*.toml`;
+//! the states and events are declared here.
 
 use std::sync::LazyLock;
 
@@ -7,158 +8,158 @@
 chart_names! {
     /// The state of one run of a task.
     TaskState {
-        /// Waits for a slot.
+        /// The run waits for a slot.
         Queued = "queued",
-        /// The start was sent; the target's answer is awaited.
+        /// The start was sent and its reply is pending.
         Sent = "sent",
-        /// The connection broke after the start; the target is asked.
+        /// The connection broke after the start; the target is queried about the run.
         Asking = "asking",
-        /// Ended with an output.
+        /// The run ended with an output.
         Done = "done",
-        /// Ended without an output.
+        /// The run ended without an output.
         Failed = "failed",
-        /// The outcome can't be learnt.
+        /// The outcome can't be determined.
         Unknown = "unknown",
-        /// Never started, since its job had failed before.
+        /// The run was never started, since its job had ended before.
         Dropped = "dropped",
     }
 }
 
 chart_names! {
-    /// What happens to one run of a task.
+    /// An event of one run of a task.
     TaskEvent {
-        /// The start was handed to the transport.
+        /// The start was passed to the transport.
         Sent = "sent",
         /// The target reports the output.
         Done = "done",
         /// The target reports the end without an output.
         Failed = "failed",
-        /// The target proves that the run never began and never will.
+        /// The target confirms that the run never started and never will.
         Refused = "refused",
         /// No byte of the start was written.
         NotSent = "not-sent",
-        /// Bytes were written and no reply came.
+        /// The start was written in whole or in part, and no reply came.
         Lost = "lost",
-        /// The run's lease is past on any clock.
+        /// The run's lease has expired on every clock.
         LeasePast = "lease-past",
-        /// No time is left to ask.
+        /// The lease has expired without an answer and the task may not be repeated.
         GivenUp = "given-up",
-        /// The task goes again under the next run.
+        /// The task is requeued under the next run.
         Repeated = "repeated",
-        /// The job failed before the task was started.
+        /// The job ended before the task was started.
         Dropped = "dropped",
     }
 }
 
 chart_names! {
-    /// A host's right to a shard.
+    /// The state of a host's right to a shard.
     ShardState {
-        /// None.
+        /// The host has no right to the shard.
         Absent = "absent",
-        /// The table names this host.
+        /// The table names this host as the holder.
         Held = "held",
-        /// Another host handed the shard over; the table still names it.
+        /// Another host handed the shard over, and the table doesn't name this host yet.
         Acting = "acting",
-        /// On its way to another host: nothing is started under it here.
+        /// The shard is being handed over; this host accepts no submissions of it.
         HandingOver = "handing-over",
     }
 }
 
 chart_names! {
-    /// What happens to a host's right to a shard.
+    /// An event of a host's right to a shard.
     ShardEvent {
-        /// The table names this host.
+        /// The table names this host as the holder.
         Acquired = "acquired",
         /// This host accepted a handover.
         Accepted = "accepted",
         /// This host offered the shard to another.
         Offered = "offered",
-        /// The other declined a shard that the table gives to this host.
+        /// The other host declined a shard for which the table names this host.
         DeclinedHeld = "declined-held",
-        /// The other declined a shard that this host acts for.
+        /// The other host declined a shard that this host acts for.
         DeclinedActing = "declined-acting",
-        /// The other accepted, or may have.
+        /// The other host accepted, or may have.
         Passed = "passed",
-        /// The table names another host.
+        /// The table names another holder or epoch.
         Lost = "lost",
     }
 }
 
 chart_names! {
-    /// How far a target is trusted.
+    /// The health state of a target.
     TargetState {
-        /// It gets its full share.
+        /// The target gets its full share of tasks.
         Healthy = "healthy",
-        /// Its last answer was a failure.
+        /// The target's last request failed; it gets one task at a time.
         Suspect = "suspect",
-        /// It gets nothing for a while.
+        /// The target gets no tasks for a limited time.
         Ejected = "ejected",
-        /// It gets a little work at a time.
+        /// The target gets a few tasks at a time after an ejection or a return.
         Probing = "probing",
-        /// It gets nothing new.
+        /// The target is leaving and gets no new tasks.
         Leaving = "leaving",
     }
 }
 
 chart_names! {
-    /// What a target's trust depends on.
+    /// An event that affects a target's health.
     TargetEvent {
-        /// A task ended in order.
+        /// A task ended with an output.
         Succeeded = "succeeded",
-        /// A connection failed.
+        /// A request to the target got no reply.
         Failed = "failed",
-        /// Too many failures in a row.
+        /// The limit of consecutive failures was reached.
         StruckOut = "struck-out",
-        /// The time out is over.
+        /// The ejection has ended.
         Waited = "waited",
-        /// Enough probes ended in order.
+        /// Enough probing tasks succeeded.
         Proven = "proven",
-        /// Some source says that it is leaving.
+        /// Some source reports that the target is leaving.
         Leaves = "leaves",
-        /// The list says that it is back.
+        /// The platform's list shows the target as live again.
         Returned = "returned",
     }
 }
 
 chart_names! {
-    /// An operator's change.
+    /// The state of an operator's change.
     ChangeState {
-        /// The write is on its way.
+        /// The change is in progress, and no earlier write has an unknown outcome.
         Writing = "writing",
-        /// A write may have taken place.
+        /// An earlier write may have taken place.
         Unclear = "unclear",
-        /// The change is durable.
+        /// The change is stored durably.
         Accepted = "accepted",
-        /// Another change came first.
+        /// The document was changed by someone else; this change wasn't written.
         Conflict = "conflict",
-        /// The table can't be reached and nothing was written.
+        /// The table couldn't be reached, and nothing was written.
         Refused = "refused",
-        /// The table can't be reached and a write may have taken place.
+        /// The table couldn't be reached, and a write may have taken place.
         Unresolved = "unresolved",
     }
 }
 
 chart_names! {
-    /// What happens to an operator's change.
+    /// An event of an operator's change.
     ChangeEvent {
         /// The table confirms the write.
         Committed = "committed",
-        /// The row shows the change.
+        /// The document's row contains the change's id.
         Found = "found",
-        /// The row shows another change.
+        /// The document's row has another version than the change is based on.
         Conflict = "conflict",
-        /// The try didn't take place.
+        /// The attempt didn't take place.
         NotDone = "not-done",
-        /// The try may have taken place.
+        /// The attempt may have taken place.
         Unclear = "unclear",
-        /// No time is left.
+        /// The time for the change has run out.
         GivenUp = "given-up",
     }
 }
 
 macro_rules! chart {
     ($name:ident, $state:ty, $event:ty, $file:literal) => {
-        /// The chart of this file, interpreted.
+        /// The chart read from the file of the same name.
         pub static $name: LazyLock<Chart<$state, $event>> = LazyLock::new(|| {
             Chart::parse(include_str!(concat!("../charts/", $file)))
                 .expect("the charts are part of the program and tested")
--- a/crates/entry-core/src/config_store.rs
+++ b/crates/entry-core/src/config_store.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at a host.
+//! The configuration in force at a host: its documents, parsed and validated.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 /// Key of the row that holds the configuration's version.
 pub const CONFIG_HEAD: &str = "config/head";
 
-/// The documents in force, read and checked.
+/// The parsed documents of the configuration in force.
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     snapshot: ConfigSnapshot,
@@ -22,25 +22,26 @@
 }
 
 impl ConfigStore {
-    /// Returns the version in force; 0 before any.
+    /// Returns the version in force; 0 if there is none yet.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.snapshot.version
     }
 
-    /// Returns what is in force, to pass it on.
+    /// Returns the configuration in force as peers exchange it.
     #[must_use]
     pub fn snapshot(&self) -> &ConfigSnapshot {
         &self.snapshot
     }
 
-    /// Returns the documents, to check references.
+    /// Returns the documents by key, for the validation of references.
     #[must_use]
     pub fn documents(&self) -> &BTreeMap<DocumentKey, Document> {
         &self.documents
     }
 
-    /// Puts a snapshot in force if it is newer, and tells whether it was.
+    /// Applies a snapshot if it is newer than the one in force, or in any case without
+    /// `version_check`. Returns true if it was applied.
     pub fn apply(&mut self, snapshot: ConfigSnapshot, version_check: bool) -> bool {
         if version_check && snapshot.version <= self.snapshot.version {
             return false;
@@ -58,8 +59,8 @@
         let Ok(key) = doc.key.parse::<DocumentKey>() else {
             return;
         };
-        // Documents are checked before they are accepted. One that a newer
-        // release wrote and this one can't read is left out.
+        // Documents are validated before they are stored, so only one written by a
+        // newer release can fail here. It is skipped.
         let Ok(document) = Document::read(key.kind, &doc.key, &doc.text) else {
             return;
         };
@@ -70,13 +71,13 @@
         self.documents.insert(key, document);
     }
 
-    /// Returns an account.
+    /// Returns the account of this name, if it is configured.
     #[must_use]
     pub fn account(&self, name: &str) -> Option<&Arc<Account>> {
         self.accounts.get(name)
     }
 
-    /// Returns a template.
+    /// Returns the template of this name, if it is configured.
     #[must_use]
     pub fn template(&self, name: &Name) -> Option<&Template> {
         let key = DocumentKey {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Returns the halls that are being emptied.
+    /// Returns the halls that are being drained.
     #[must_use]
     pub fn draining(&self) -> BTreeSet<Name> {
         let draining = |(key, document): (&DocumentKey, &Document)| match document {
--- a/crates/entry-core/src/directory.rs
+++ b/crates/entry-core/src/directory.rs
@@ -1,4 +1,5 @@
-//! Where the holders of shards are reached.
+//! The directory of shard holders and their addresses, from the halls' rows and from
+//! heartbeats.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,15 +8,15 @@
 use gannetridge_entry_wire::{Epoch, HostId, ShardId};
 use gannetridge_wire::Name;
 
-/// What was last heard of a shard's holder.
+/// A shard's holder as reported by a heartbeat.
 #[derive(Clone, Debug)]
 struct Holder {
     epoch: Epoch,
     address: Name,
 }
 
-/// What this host believes of where shards are. Wrong beliefs cost a message;
-/// a host that doesn't hold a shard says so.
+/// The known location of each shard. A stale entry costs only a message, since a host
+/// that doesn't hold a shard replies so.
 #[derive(Debug, Default)]
 pub struct Directory {
     rows: BTreeMap<Name, HallRow>,
@@ -23,7 +24,7 @@
 }
 
 impl Directory {
-    /// Takes over a hall's row.
+    /// Sets a hall's row, unless a newer one is known. Drops reports that it supersedes.
     pub fn set_row(&mut self, hall: &Name, row: HallRow) {
         let older = self
             .rows
@@ -44,7 +45,7 @@
         self.rows.insert(hall.clone(), row);
     }
 
-    /// Takes over what a peer says that it holds.
+    /// Records the shards that a peer reports to hold.
     pub fn heard(&mut self, status: &Status) {
         for (index, epoch) in &status.shards {
             let id = ShardId {
@@ -68,15 +69,15 @@
         shard.map_or(Epoch::default(), |s| s.epoch)
     }
 
-    /// Forgets where a shard was last heard of, since nobody answers there.
+    /// Removes the report that a shard is held at an address that doesn't respond.
     pub fn forget(&mut self, shard: &ShardId, address: &Name) {
         if self.heard.get(shard).is_some_and(|h| h.address == *address) {
             self.heard.remove(shard);
         }
     }
 
-    /// Returns where to send a submission of the shard: the holder first,
-    /// then the other hosts of its hall, which know it better.
+    /// Returns the addresses to try for a submission of the shard: the reported holder,
+    /// the holder in the row, then the other hosts of its hall, which may know better.
     #[must_use]
     pub fn candidates(&self, shard: &ShardId) -> Vec<Name> {
         let mut addresses = Vec::new();
@@ -101,7 +102,7 @@
         addresses
     }
 
-    /// Returns the hosts of another hall, by address.
+    /// Returns the ids and addresses of a hall's hosts.
     #[must_use]
     pub fn hosts_of(&self, hall: &str) -> Vec<(HostId, Name)> {
         let members = self.rows.get(hall).map(|r| r.members.as_slice());
@@ -109,7 +110,7 @@
         members.map(|m| (m.id.clone(), m.address.clone())).collect()
     }
 
-    /// Returns the halls that have a row.
+    /// Iterates over the halls whose row is known.
     pub fn halls(&self) -> impl Iterator<Item = &Name> {
         self.rows.keys()
     }
--- a/crates/entry-core/src/event.rs
+++ b/crates/entry-core/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a host.
+//! The events that a host handles, and the types they carry.
 
 use gannetridge_entry_config::DocumentKey;
 use gannetridge_entry_wire::peer::{ConfigDoc, PeerReply, PeerRequest};
@@ -7,106 +7,106 @@
 use gannetridge_entry_wire::Submission;
 use gannetridge_wire::Name;
 
-/// Stands for a request that the shell has read and will answer.
+/// Identifies a received request that the host has to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// Stands for a request that the host has asked the shell to send.
+/// Identifies a request that the host sends, to match it with its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Why a request has no reply.
+/// The reason why a request got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// No byte was written.
+    /// No byte was written, so the receiver can't have seen the request.
     NotSent,
-    /// The request was written, whole or in part.
+    /// The request was written in whole or in part; the receiver may have handled it.
     Unknown,
 }
 
-/// A change that an operator asks for.
+/// An operator's request to change a configuration document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeRequest {
-    /// Unique; the same for each try of the same change.
+    /// Unique per change; retries of a change carry the same id.
     pub change_id: Name,
-    /// The document.
+    /// The document to change.
     pub key: DocumentKey,
-    /// The version at which the operator read it; 0 for a new document.
+    /// The document's version on which the change is based; 0 for a new document.
     pub read_at: u64,
-    /// The new text.
+    /// The new text of the whole document, TOML.
     pub text: Name,
 }
 
-/// What became of an operator's change.
+/// The outcome of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeAnswer {
-    /// The change is durable, with this version.
+    /// The change is stored durably.
     Accepted {
         /// The configuration's new version.
         version: u64,
     },
-    /// The document has faults.
+    /// The document is invalid; nothing was written.
     Faulty(gannetridge_entry_config::Faults),
-    /// Another change came first; nothing was written.
+    /// The document was changed after `read_at`; nothing was written.
     Conflict {
-        /// The document as it stands, if there is one.
+        /// The current document, if there is one.
         theirs: Option<ConfigDoc>,
     },
     /// The table can't be reached; nothing was written.
     Unavailable,
-    /// The write may have taken place. The same change id may be sent again.
+    /// The write may have taken place. The change may be retried with the same id.
     Unresolved,
 }
 
-/// What happens to a host.
+/// An input of a host.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A caller sent a submission.
     Submit {
-        /// The request.
+        /// Identifies the request in its answer.
         token: Token,
-        /// The submission.
+        /// The submission as received.
         submission: Submission,
     },
     /// A peer sent a request.
     Peer {
-        /// The request.
+        /// Identifies the request in its reply.
         token: Token,
-        /// Its contents.
+        /// The request as received.
         request: PeerRequest,
     },
-    /// A peer replied, or didn't.
+    /// A call to a peer ended, with or without a reply.
     PeerReply {
-        /// The call.
+        /// The call that ended.
         call: CallId,
-        /// The reply.
+        /// The reply, or why there is none.
         reply: Result<PeerReply, SendFailure>,
     },
-    /// A target replied to a start or a question, or didn't.
+    /// A start or query sent to a target ended, with or without a reply.
     TaskReply {
-        /// The call.
+        /// The call that ended.
         call: CallId,
-        /// The reply.
+        /// The reply, or why there is none.
         reply: Result<TaskReport, SendFailure>,
     },
-    /// The platform's table replied, or didn't.
+    /// An operation on the platform's table ended, with or without a result.
     TableReply {
-        /// The call.
+        /// The call that ended.
         call: CallId,
-        /// The reply.
+        /// The result, or why there is none.
         reply: Result<TableResult, TableFailure>,
     },
-    /// The platform's list was read.
+    /// The platform's list of targets was read.
     Listed(HostList),
-    /// An operator asks for a change.
+    /// An operator requests a change.
     Change {
-        /// The request.
+        /// Identifies the request in its answer.
         token: Token,
-        /// The change.
+        /// The requested change.
         change: ChangeRequest,
     },
-    /// A timer is due.
+    /// The time of [`Host::next_timer`](crate::Host::next_timer) has come.
     Tick,
-    /// The process is asked to stop in order.
+    /// The process is asked to shut down gracefully.
     Stop,
 }
--- a/crates/entry-core/src/health.rs
+++ b/crates/entry-core/src/health.rs
@@ -1,35 +1,40 @@
-//! How far one target is trusted, learnt from the answers to its tasks.
+//! The health of one target, derived from the outcomes of its tasks.
+//!
+//! A target that fails repeatedly is ejected for a while, then probed with a few tasks
+//! before it gets its full share again. The transitions are those of the `TARGET`
+//! chart (`charts`).
 
 use gannetridge_entry_wire::Time;
 
 use crate::charts::{TargetEvent, TargetState, TARGET};
 
-/// Failures in a row after which a target is left alone for a while.
-/// Chosen, not measured.
+/// Consecutive failures after which a target is ejected.
 const STRIKES: u32 = 3;
-/// Shortest time for which a target is left alone, in ms. Chosen, not measured.
+/// Duration of the first ejection, in ms; it doubles with each further one.
 const FIRST_TIME_OUT_MS: u64 = 1_000;
-/// Longest time for which a target is left alone, in ms. Chosen, not measured.
+/// Longest duration of an ejection, in ms.
 const LAST_TIME_OUT_MS: u64 = 30_000;
-/// Tasks that must end in order before a target is trusted again. Chosen, not measured.
+/// Successful tasks after which a probed target is healthy again.
 const PROBES: u32 = 8;
-/// Weight of the newest task in the moving average of slowness. Chosen, not measured.
+/// Weight of the latest task in the moving average of the run time ratio.
 const NEWEST_WEIGHT: f32 = 0.1;
-/// Slowness below which a target counts as ordinary.
+/// Run time ratio below which a target isn't ranked as slow.
 const ORDINARY: f32 = 1.5;
-/// Slowness is ranked in steps of this size. Chosen, not measured.
+/// Width of a slowness rank, as a run time ratio.
 const STEP: f32 = 0.5;
-/// Slowest rank. Chosen, not measured.
+/// The highest slowness rank.
 const LAST_RANK: u32 = 20;
 
-/// What is known of a target.
+/// The health state of a target and the statistics it is based on.
 #[derive(Clone, Debug)]
 pub struct Health {
     state: TargetState,
     strikes: u32,
     proven: u32,
     time_out_ms: u64,
+    /// The end of the ejection, or the time at which the target was marked as leaving.
     until: Time,
+    /// Moving average of run times relative to those of all targets.
     ratio: f32,
 }
 
@@ -47,25 +52,25 @@
 }
 
 impl Health {
-    /// Returns the state.
+    /// Returns the state in the `TARGET` chart.
     #[must_use]
     pub fn state(&self) -> TargetState {
         self.state
     }
 
-    /// Tells whether the target may get new work.
+    /// Returns true if the target may get new tasks.
     #[must_use]
     pub fn usable(&self) -> bool {
         !matches!(self.state, TargetState::Ejected | TargetState::Leaving)
     }
 
-    /// Tells whether the target is known to be leaving.
+    /// Returns true if the target is known to be leaving.
     #[must_use]
     pub fn leaving(&self) -> bool {
         self.state == TargetState::Leaving
     }
 
-    /// Returns how many tasks the target may have at a time.
+    /// Returns how many tasks of this host the target may run at a time.
     #[must_use]
     pub fn limit(&self) -> u32 {
         match self.state {
@@ -76,7 +81,7 @@
         }
     }
 
-    /// Returns the target's rank by slowness; 0 for ordinary targets.
+    /// Returns the target's slowness rank; 0 for a target that isn't slow.
     #[must_use]
     pub fn slowness(&self) -> u32 {
         if self.ratio < ORDINARY {
@@ -85,8 +90,8 @@
         (((self.ratio - ORDINARY) / STEP) as u32 + 1).min(LAST_RANK)
     }
 
-    /// Notes a task that ended in order, and its time over the expected one,
-    /// relative to the same figure of all targets.
+    /// Records a task that ended. `ratio` is its run time over the expected one,
+    /// relative to the average of all targets.
     pub fn succeeded(&mut self, ratio: f32) {
         self.ratio += (ratio - self.ratio) * NEWEST_WEIGHT;
         self.strikes = 0;
@@ -100,7 +105,7 @@
         }
     }
 
-    /// Notes a connection that failed or a task that was lost.
+    /// Records a request to the target that got no reply.
     pub fn failed(&mut self, now: Time) {
         let was_out = !self.usable();
         self.strikes += 1;
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Notes that a source says the target is leaving.
+    /// Records a report that the target is leaving.
     pub fn leaves(&mut self, now: Time) {
         if self.state != TargetState::Leaving {
             TARGET.advance(&mut self.state, TargetEvent::Leaves);
@@ -122,8 +127,8 @@
         }
     }
 
-    /// Notes that the list read at `now` shows the target as live. A list may
-    /// lag by `lag_ms`, so an older word that it leaves stands for that long.
+    /// Records that the list read at `now` shows the target as live. Since the list
+    /// lags by up to `lag_ms`, it doesn't override a more recent report of leaving.
     pub fn listed_live(&mut self, now: Time, lag_ms: u64) {
         if self.leaving() && now > self.until.plus_millis(lag_ms) {
             TARGET.advance(&mut self.state, TargetEvent::Returned);
@@ -131,8 +136,7 @@
         }
     }
 
-    /// Lets a target that has been left alone long enough be probed. Tells
-    /// whether it did.
+    /// Starts to probe a target whose ejection has ended. Returns true if it did.
     pub fn revive(&mut self, now: Time) -> bool {
         if self.state != TargetState::Ejected || now < self.until {
             return false;
--- a/crates/entry-core/src/host/accept.rs
+++ b/crates/entry-core/src/host/accept.rs
@@ -1,9 +1,9 @@
-//! Decides whether a new submission becomes a job: checks it against the
-//! configuration, and refuses what can't end in time.
+//! Decides whether a new submission becomes a job.
 //!
-//! A job is refused whose deadline has passed, when the host stops and can hand over
-//! nothing, when the queue is full, and when `admission::judge` finds that it would
-//! end late behind the work ahead of it.
+//! A submission is rejected if it doesn't match the configuration. A job is refused if
+//! its deadline has passed, if the host is stopping and can't hand over its shards, if
+//! the queue is full, or if `admission::judge` finds that it would end late behind the
+//! work ahead of it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,15 +23,12 @@
 use crate::ownership::Right;
 use crate::retry::spread_ms;
 
-/// Part of the slots that a job of an account over its quota is judged by.
-/// Chosen, not measured alone.
+/// Fraction of the slots that the admission of a job over its account's quota assumes.
 const OVER_QUOTA_PART: f64 = 0.4;
-/// A job is due after this many times what it needs alone. With 4 and other settings p99
-/// of jobs that fit was 1.245 times their ideal at 80 % load, with 8 it is 1.206
-/// (simulator, seed 1).
+/// A job is due after this many times the time that it needs without other load.
 const PATIENCE: u64 = 8;
 
-/// What a submission that is in order asks for.
+/// The configuration that applies to a valid submission.
 struct Checked {
     account: Arc<Account>,
     expected_ms: u32,
@@ -39,7 +36,7 @@
 }
 
 impl Host {
-    /// Checks a new submission, and plans its job or says why not.
+    /// Validates a new submission and returns the plan of its job.
     pub(super) fn plan(
         &mut self,
         entry: EntryKey,
@@ -66,6 +63,7 @@
         })
     }
 
+    /// Validates a submission against the configuration.
     fn check(&self, submission: &Submission) -> Result<Checked, Rejection> {
         let latest = self.now.plus_millis(self.settings.tuning.caller_skew_ms);
         if submission.id.created() > latest {
@@ -108,10 +106,10 @@
         })
     }
 
-    /// Accepts a planned job if all of it can be finished in time.
+    /// Accepts a planned job if it can end in time, or refuses it.
     pub(super) fn accept(&mut self, waiter: Waiter, plan: JobPlan) {
         let mut job = Job::new(plan, self.now);
-        // A caller whose clock is ahead waits no longer for that.
+        // The deadline of a caller whose clock is ahead isn't extended by the difference.
         let waits_until = self.now.plus_millis(job.submission.deadline_ms);
         job.deadline = job.deadline.min(waits_until);
         job.due = self.due(&job);
@@ -139,9 +137,9 @@
         self.jobs.insert(key, job);
     }
 
-    /// Returns when a job should have begun. Small jobs are due soon, large
-    /// ones later in proportion to what they need, so that each waits for a
-    /// like part of its own time; none waits past the latest useful begin.
+    /// Returns the time by which a job should have started: after a multiple of its own
+    /// run time, so that the wait of each job is proportional to its size, but no later
+    /// than its deadline allows.
     fn due(&self, job: &Job) -> Time {
         let slots = u64::from(self.targets.own_capacity().max(1));
         let alone_ms = u64::from(job.longest_ms()) + job.work_ms() / slots;
@@ -150,7 +148,7 @@
         due.min(latest)
     }
 
-    /// Returns why a job can't be taken, if it can't.
+    /// Returns the refusal of a job that can't be accepted.
     fn refuse(&mut self, job: &Job) -> Option<Answer> {
         let refused = |reason, retry_after_ms| {
             Some(Answer::Refused {
@@ -190,6 +188,7 @@
         }
     }
 
+    /// Returns the slots available to a job and the work ahead of it.
     fn load_before(&self, job: &Job, over_quota: bool) -> Load {
         let own = f64::from(self.targets.own_capacity());
         let lendable = f64::from(self.lendable_by_peers(&job.account.halls));
@@ -200,7 +199,7 @@
         let pace = f64::from(self.pace.ratio());
         let ahead = self.queue.work_ahead_ms(job.queue) as f64 * pace;
         let busy = f64::from(self.targets.own_capacity() - self.targets.own_free().min(own as u32));
-        // A running task is on average half done.
+        // Assumes that running tasks are half done on average.
         let running_ms = busy * f64::from(job.longest_ms()) * pace / 2.0;
         let queued = self.queue.tasks() > 0;
         let part = if over_quota { OVER_QUOTA_PART } else { 1.0 };
--- a/crates/entry-core/src/host/ask.rs
+++ b/crates/entry-core/src/host/ask.rs
@@ -1,5 +1,4 @@
-//! Asks targets what became of tasks whose connection broke, and stops
-//! stragglers.
+//! Queries targets about runs whose reply was lost, and stops stragglers.
 
 use gannetridge_entry_wire::target::AskTask;
 use gannetridge_entry_wire::FailureCause;
@@ -12,10 +11,11 @@
 use crate::event::CallId;
 use crate::retry::backoff_ms;
 
-/// First wait before a target is asked again, in ms. Chosen, not measured.
+/// Base of the backoff between status queries, in ms.
 const FIRST_ASK_MS: u64 = 20;
 
 impl Host {
+    /// Schedules a status query, unless the job has ended or the run's lease has expired.
     pub(super) fn ask_later(&mut self, call: CallId, task: &RunningTask) {
         let asked = match self.jobs.get_mut(&task.job) {
             Some(job) => {
@@ -35,7 +35,7 @@
         self.after(wait_ms, Timer::Ask(call));
     }
 
-    /// Asks a target what became of a run.
+    /// Queries the target of a run about its state.
     pub(super) fn ask(&mut self, call: CallId) {
         let Some(task) = self.running.get(&call) else {
             return;
@@ -55,7 +55,8 @@
         });
     }
 
-    /// The run is over on any clock, and the target can't say how it ended.
+    /// Handles a run whose lease has expired on every clock without the target having
+    /// reported its end.
     pub(super) fn on_lease_past(&mut self, call: CallId, task: &RunningTask) {
         self.end_run(call, task);
         let job = self
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Stops a repeatable task that runs far longer than expected. It goes
-    /// again once the target reports its end.
+    /// Requests the stop of a repeatable task that runs far longer than expected. It is
+    /// started again once the target reports the end of the run.
     pub(super) fn on_straggler(&mut self, call: CallId) {
         let Some(task) = self.running.get_mut(&call) else {
             return;
@@ -88,7 +89,7 @@
             stop: true,
         };
         let address = self.targets.get(task.target).address.clone();
-        // The reply to the start itself tells how the run ended.
+        // The reply to the start reports how the run ended, so this one isn't awaited.
         let call = self.new_call();
         self.out.push(Action::Ask {
             call,
--- a/crates/entry-core/src/host/borrow.rs
+++ b/crates/entry-core/src/host/borrow.rs
@@ -1,4 +1,4 @@
-//! Borrows free slots from peers for the tasks that wait.
+//! Borrows free slots from peers for waiting tasks.
 
 use std::collections::BTreeSet;
 
@@ -15,34 +15,31 @@
 use crate::loans::LoanKey;
 use crate::settings::Placement;
 
-/// Shortest pause after a peer had nothing to lend, in ms. With pauses of 20 to
-/// 640, 100 to 1,600 and 300 to 4,800 ms p99 at 80 % load was 9.4, 4.1 and 7.2 times the ideal
-/// (simulator, seed 1).
+/// Shortest wait before a peer that had nothing to lend is asked again, in ms.
 const FIRST_PAUSE_MS: u64 = 100;
-/// Longest pause after a peer had nothing to lend, in ms. See [`FIRST_PAUSE_MS`].
+/// Longest wait before a peer that had nothing to lend is asked again, in ms.
 const LAST_PAUSE_MS: u64 = 1_600;
-/// Returned slots are reported after this time, in ms. Chosen, not measured.
+/// Delay after which returned slots are reported to their lender, in ms.
 const RETURN_MS: u64 = 5;
-/// How long a question may wait at a peer, in ms. With 200 and other settings 32 messages
-/// were wasted per 1,000 tasks at 80 % load, now 5 (simulator, seed 1).
+/// Longest time for which a borrow request may wait at a peer, in ms.
 const QUESTION_MS: u64 = 1000;
-/// How long the reply is awaited beyond that, in ms. Chosen, not measured.
+/// Timeout of the reply beyond the time that the request may wait, in ms.
 const REPLY_MS: u64 = 500;
-/// Most jobs that are looked at for the halls that they may use. Chosen, not
-/// measured.
+/// Largest number of waiting jobs whose halls are considered.
 const MOST_LOOKED_AT: usize = 8;
-/// Most slots asked for at a time. Chosen, not measured.
+/// Largest number of slots per borrow request.
 const MOST_SLOTS: u32 = 256;
 
-/// What a host knows of a peer's readiness to lend.
+/// A peer's known state as a lender of slots.
 #[derive(Clone, Debug)]
 pub(super) struct Lender {
-    /// What the peer last told.
+    /// The slots that the peer last reported as available.
     pub(super) spare: Spare,
-    /// Slots that the question on its way is expected to bring.
+    /// The number of slots expected from the borrow request in progress, if there is one.
     asked: Option<u32>,
-    /// Not to be asked blindly before this time.
+    /// No request goes to the peer before this time unless it reports free slots.
     not_before: Time,
+    /// The next wait after a request that brought nothing.
     pause_ms: u64,
 }
 
@@ -58,16 +55,17 @@
 }
 
 impl Lender {
-    /// Takes over what the peer says of itself.
+    /// Records the slots that the peer reports as available.
     pub(super) fn learn(&mut self, spare: Spare) {
         self.spare = spare;
     }
 
-    /// Notes that the peer couldn't be reached.
+    /// Records that the peer couldn't be reached.
     pub(super) fn silent(&mut self) {
         self.spare = Spare::default();
     }
 
+    /// Records that a request brought nothing, and doubles the wait before the next.
     fn lent_nothing(&mut self, now: Time) {
         self.not_before = now.plus_millis(self.pause_ms);
         self.pause_ms = (self.pause_ms * 2).min(LAST_PAUSE_MS);
@@ -75,8 +73,7 @@
 }
 
 impl Host {
-    /// Returns how many slots the hosts of some halls were last heard to have
-    /// to lend.
+    /// Returns how many slots the hosts of some halls last reported as available.
     pub(super) fn lendable_by_peers(&self, halls: &[Name]) -> u32 {
         if self.settings.tuning.placement != Placement::SharesLending {
             return 0;
@@ -85,8 +82,8 @@
         allowed.map(|p| p.lender.spare.free).sum()
     }
 
-    /// Returns this host's part of the slots of some halls, counted by hosts.
-    /// A host whose own hall is being emptied has nothing better to go by.
+    /// Returns an equal part of the usable slots of some halls per known host. Used by a
+    /// host that has no share of its own.
     pub(super) fn fair_part_of(&self, halls: &[Name]) -> u32 {
         let usable = self
             .targets
@@ -96,13 +93,13 @@
         slots / (self.peers.len() as u32 + 1)
     }
 
-    /// Asks peers for slots for the tasks that wait.
+    /// Requests slots from peers for the waiting tasks.
     pub(super) fn borrow_more(&mut self) {
         if self.settings.tuning.placement != Placement::SharesLending {
             return;
         }
         let entitled = self.queue.entitled();
-        // Once nothing else waits, tasks over their quota may ask.
+        // Tasks over their quota may borrow only when no others wait.
         let over_quota = entitled == 0;
         let wanted = if over_quota {
             self.queue.tasks() as u32
@@ -131,7 +128,7 @@
             if free > 0 {
                 known.push((far, u32::MAX - free, address.clone()));
             } else if !over_quota && !spare.waits && self.now >= peer.lender.not_before {
-                // Equals come in any order, so that not all ask the same.
+                // Random order, so that hosts don't all ask the same peer.
                 let any: u32 = self.rng.random();
                 blind.push((spare.waits, far, any, address.clone()));
             }
@@ -153,7 +150,7 @@
         }
     }
 
-    /// Sends a question to a peer, of which `expected` slots are hoped for.
+    /// Sends a borrow request to a peer, which is expected to bring `expected` slots.
     fn ask_for_slots(&mut self, address: Name, count: u32, expected: u32, over_quota: bool) {
         let due = self.queue.first_due().unwrap_or(self.now);
         if let Some(peer) = self.peers.get_mut(&address) {
@@ -216,9 +213,10 @@
         self.take_loan(key, &grants, until);
     }
 
+    /// Adds a loan.
     fn take_loan(&mut self, key: LoanKey, grants: &[Grant], until: Time) {
-        // A target that isn't known here yet can't be used; its slots come
-        // back to the lender when the loan is overdue.
+        // Slots of an unknown target can't be used. They return to the lender when the loan
+        // is overdue.
         let known = grants
             .iter()
             .filter_map(|g| Some((self.targets.find(&g.target)?, g.count)));
@@ -226,12 +224,14 @@
         self.borrowed.add(key, &slots, until);
     }
 
+    /// Plans a report of returned slots, if one is needed.
     pub(super) fn schedule_returns(&mut self) {
         if self.borrowed.needs_flush() {
             self.after(RETURN_MS, Timer::FlushReturns);
         }
     }
 
+    /// Reports returned slots to their lenders.
     pub(super) fn flush_returns(&mut self) {
         for back in self.borrowed.flush() {
             if back.unused {
--- a/crates/entry-core/src/host/calls.rs
+++ b/crates/entry-core/src/host/calls.rs
@@ -12,7 +12,7 @@
 use crate::event::{CallId, Token};
 use crate::ledger::Waiter;
 
-/// What a call to a peer or the table was for.
+/// The purpose of a call to a peer or to the table.
 #[derive(Clone, Debug)]
 pub(super) enum Call {
     Forward(u64),
@@ -35,11 +35,12 @@
 #[derive(Debug, Default)]
 pub(super) struct Calls {
     pub(super) open: HashMap<CallId, Call>,
-    /// The number of the last one.
+    /// The id of the last call.
     last: u64,
 }
 
 impl Host {
+    /// Returns the id for a new call.
     pub(super) fn new_call(&mut self) -> CallId {
         self.calls.last += 1;
         CallId(self.calls.last)
@@ -72,6 +73,8 @@
         self.out.push(Action::Reply { token, reply });
     }
 
+    /// Sends an answer to the caller, or to the peer that forwarded the submission.
+    /// Sends an answer to the caller, or to the peer that forwarded the submission.
     pub(super) fn answer(&mut self, waiter: Waiter, answer: Answer) {
         match waiter {
             Waiter::Caller(token) => self.out.push(Action::Answer { token, answer }),
--- a/crates/entry-core/src/host/config_rows.rs
+++ b/crates/entry-core/src/host/config_rows.rs
@@ -1,4 +1,4 @@
-//! The configuration's rows in the table.
+//! The format of the configuration's rows in the table.
 
 use gannetridge_entry_config::DocumentKey;
 use gannetridge_entry_wire::peer::{ConfigDoc, ConfigSnapshot};
@@ -8,22 +8,22 @@
 
 use crate::config_store::{CONFIG_HEAD, CONFIG_PREFIX};
 
-/// The row that holds the configuration's version.
+/// The value of the head row, which holds the configuration's version.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Head {
     pub(super) version: u64,
 }
 
-/// The configuration's rows as they were read at one time.
+/// The configuration's rows as returned by one read.
 pub(super) struct ConfigRows {
     pub(super) snapshot: ConfigSnapshot,
-    /// The version of the row that holds the configuration's version.
+    /// The version of the head row itself.
     pub(super) head_row: u64,
-    /// The documents' rows: key and version.
+    /// The key and version of each document's row.
     pub(super) doc_rows: Vec<(Name, u64)>,
 }
 
-/// Decodes the rows, or nothing if one of them can't be decoded.
+/// Decodes the rows; returns `None` if one of them can't be decoded.
 pub(super) fn read_rows(rows: &[Row]) -> Option<ConfigRows> {
     let mut read = ConfigRows {
         snapshot: ConfigSnapshot::default(),
--- a/crates/entry-core/src/host/configure.rs
+++ b/crates/entry-core/src/host/configure.rs
@@ -1,7 +1,8 @@
 //! Writes operators' changes to the table.
 //!
-//! A change reads the configuration's rows, is checked against them and written under
-//! the versions read; `CHANGE` (`charts`) says what may follow what.
+//! A change reads the configuration's rows, is validated against them and is written
+//! on condition that they are unchanged. The `CHANGE` chart (`charts`) defines its
+//! states.
 
 use std::collections::BTreeMap;
 
@@ -21,31 +22,32 @@
 use crate::event::{ChangeAnswer, ChangeRequest, Token};
 use crate::retry::backoff_ms;
 
-/// How long an operator's change is tried, in ms. Chosen, not measured.
+/// How long a change is retried, in ms.
 const CHANGE_TIME_MS: u64 = 6_000;
-/// First wait before a change is tried again, in ms. Chosen, not measured.
+/// Base of the backoff between attempts, in ms.
 const FIRST_TRY_MS: u64 = 50;
-/// Longest wait before a change is tried again, in ms. Chosen, not measured.
+/// Longest backoff between attempts, in ms.
 const LAST_TRY_MS: u64 = 800;
-/// Change ids that a document remembers. Chosen, not measured.
+/// Number of change ids kept in a document, to recognise retries.
 const REMEMBERED_CHANGES: usize = 16;
-/// An operator's change on its way.
+
+/// An operator's change in progress.
 #[derive(Debug)]
 pub(super) struct Change {
     token: Token,
     request: ChangeRequest,
     state: ChangeState,
-    /// The configuration as it stands if the last try's write takes place.
+    /// The configuration that results if the last attempt's write takes place.
     written: ConfigSnapshot,
     give_up: Time,
     tries: u32,
 }
 
-/// Operators' changes that are under way.
+/// The operators' changes in progress.
 #[derive(Debug, Default)]
 pub(super) struct Changes {
     pub(super) open: BTreeMap<u64, Change>,
-    /// The number of the last one.
+    /// The key of the last change.
     pub(super) last: u64,
 }
 
@@ -72,7 +74,7 @@
         self.out.push(Action::ChangeAnswer { token, answer });
     }
 
-    /// Reads the rows that a change depends on.
+    /// Reads the rows that a change is based on.
     pub(super) fn read_for_change(&mut self, key: u64) {
         if self.changes.open.contains_key(&key) {
             let prefix = CONFIG_PREFIX.into();
@@ -82,7 +84,7 @@
 
     pub(super) fn on_change_read(&mut self, key: u64, reply: Result<TableResult, TableFailure>) {
         let Ok(TableResult::Rows { rows }) = reply else {
-            // A read changes nothing, whether it took place or not.
+            // A read has no effect, even if its outcome is unknown.
             return self.try_change_again(key, ChangeEvent::NotDone);
         };
         let Some(read) = read_rows(&rows) else {
@@ -108,7 +110,8 @@
             );
         }
         if let Err(faults) = self.check_references(&request) {
-            // The document itself is in order; what it refers to is not there.
+            // Only references to other documents can be invalid here: the document itself
+            // was validated on receipt.
             if self.changes.open[&key].state == ChangeState::Unclear {
                 return self.try_change_again(key, ChangeEvent::Unclear);
             }
@@ -170,16 +173,16 @@
                 let Some(change) = self.changes.open.get_mut(&key) else {
                     return;
                 };
-                // The write was checked against the head that was read, so
-                // this is what the table holds now.
+                // The write was conditional on the head that was read, so this is now the
+                // table's content.
                 let written = std::mem::take(&mut change.written);
                 let version = written.version;
                 self.put_in_force(written);
                 let answer = ChangeAnswer::Accepted { version };
                 self.end_change(key, ChangeEvent::Committed, answer);
             }
-            // Some other change came between the read and the write; whether
-            // it was to the same document, the next read tells.
+            // Another change came between the read and the write; the next read shows
+            // whether it was to the same document.
             Ok(TableResult::Conflict { .. } | TableResult::Rows { .. }) => {
                 self.read_for_change(key);
             }
@@ -188,6 +191,7 @@
         }
     }
 
+    /// Ends a change whose id is found in the document's row.
     fn change_found(&mut self, key: u64, version: u64) {
         let state = self.changes.open[&key].state;
         let event = if state == ChangeState::Unclear {
@@ -218,6 +222,7 @@
         self.answer_change(change.token, answer);
     }
 
+    /// Schedules another attempt, or ends the change if its time has run out.
     fn try_change_again(&mut self, key: u64, event: ChangeEvent) {
         let Some(change) = self.changes.open.get_mut(&key) else {
             return;
--- a/crates/entry-core/src/host/ends.rs
+++ b/crates/entry-core/src/host/ends.rs
@@ -1,4 +1,4 @@
-//! Ends jobs: complete, failed, or not run after all.
+//! Ends jobs: as complete, failed or not run.
 
 use std::sync::Arc;
 
@@ -16,13 +16,14 @@
 use crate::retry::spread_ms;
 
 impl Host {
+    /// Ends a job whose tasks are all done.
     pub(super) fn complete_job(&mut self, key: JobKey) {
         let mut job = self.jobs.remove(&key).expect("the caller found it");
         let results = job.take_results();
         self.end_job(key, &job, Answer::Complete { results });
     }
 
-    /// Ends a job without results: as not run if that is true.
+    /// Ends a job without results: as not run if no task can have run, else as failed.
     pub(super) fn fail_job(&mut self, key: JobKey, cause: FailureCause) {
         let Some(mut job) = self.jobs.remove(&key) else {
             return;
@@ -51,6 +52,7 @@
         self.end_job(key, &job, answer);
     }
 
+    /// Records a job's answer in the ledger and sends it to everyone who waits for it.
     pub(super) fn end_job(&mut self, key: JobKey, job: &Job, answer: Answer) {
         self.timers.cancel(job.deadline, Timer::JobDeadline(key));
         let entry = self
@@ -86,7 +88,7 @@
         self.fail_job(key, FailureCause::DeadlinePassed);
     }
 
-    /// Ends the jobs of a shard that another host took over.
+    /// Fails the jobs that still have queued tasks in a shard that this host lost.
     pub(super) fn fail_jobs_of(&mut self, shard: u16) {
         let of_shard = |(_, job): &(&JobKey, &Job)| job.authority.shard == shard;
         let keys: Vec<JobKey> = self.jobs.iter().filter(of_shard).map(|(k, _)| *k).collect();
--- a/crates/entry-core/src/host/follow.rs
+++ b/crates/entry-core/src/host/follow.rs
@@ -1,4 +1,5 @@
-//! Follows the configuration and the platform's list, from the table and from peers.
+//! Keeps the configuration and the list of targets up to date, from the platform and
+//! from peers.
 
 use gannetridge_entry_wire::peer::{ConfigSnapshot, PeerReply, PeerRequest};
 use gannetridge_entry_wire::platform::{HostList, TableFailure, TableOp, TableResult};
@@ -12,7 +13,7 @@
 use crate::event::{SendFailure, Token};
 use crate::settings::Placement;
 
-/// How long the reply to a pull is awaited, in ms. Chosen, not measured.
+/// Timeout of the reply to a configuration pull, in ms.
 const PULL_WAIT_MS: u64 = 2_000;
 
 impl Host {
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Applies a configuration if it is newer than the one in force.
     pub(super) fn put_in_force(&mut self, snapshot: ConfigSnapshot) {
         let before = self.config.version();
         let check = self.settings.safeguards.version_check;
@@ -51,6 +53,7 @@
         self.note(Note::ConfigInForce { version });
     }
 
+    /// Requests a newer configuration from a peer, and the list if none is known.
     pub(super) fn pull_config(&mut self, address: Name) {
         let have = self.config.version();
         let want_list = self.targets.is_empty();
@@ -72,21 +75,21 @@
         if let Some(snapshot) = snapshot {
             self.put_in_force(snapshot);
         }
-        // The platform's own word goes before a peer's memory of it.
+        // The platform's list, once read, takes precedence over a peer's copy.
         if let (Some(list), true) = (list, self.targets.is_empty()) {
             self.take_list(list);
         }
     }
 
     pub(super) fn read_list(&mut self) {
-        // Power of two goes by usage, which only a whole list tells.
+        // `PowerOfTwo` needs the usage, which only a whole list contains.
         let by_usage = self.settings.tuning.placement == Placement::PowerOfTwo;
         let known = self.list.as_ref().filter(|_| !by_usage);
         let after = known.map_or(0, |list| list.version);
         self.out.push(Action::ReadList { after });
     }
 
-    /// Takes over the platform's list, or what changed in it.
+    /// Applies the platform's list, or the changes in it.
     pub(super) fn take_list(&mut self, news: HostList) {
         let mut news = news;
         if !self.settings.safeguards.heed_leaving {
@@ -95,8 +98,7 @@
         let unchanged = news.is_unchanged();
         let list = self.list.get_or_insert_default();
         list.merge(news);
-        // Even an unchanged list can outlast an older word that a target is
-        // leaving.
+        // Even an unchanged list can override an older report that a target is leaving.
         if unchanged && !self.targets.any_leaving() {
             return;
         }
--- a/crates/entry-core/src/host/forward.rs
+++ b/crates/entry-core/src/host/forward.rs
@@ -1,4 +1,4 @@
-//! Passes callers' submissions to the holder of their shard.
+//! Forwards callers' submissions to the holder of their shard.
 
 use std::collections::BTreeMap;
 
@@ -16,17 +16,16 @@
 use crate::retry::{backoff_ms, spread_ms};
 use crate::seen::SeenRequests;
 
-/// Rounds over all hosts that may know the holder. Chosen, not measured.
+/// Largest number of rounds over all hosts that may hold the shard.
 const MOST_ROUNDS: u32 = 4;
-/// First wait between rounds, in ms. Chosen, not measured.
+/// Base of the backoff between rounds, in ms.
 const FIRST_WAIT_MS: u64 = 30;
-/// Longest wait between rounds, in ms. Chosen, not measured.
+/// Longest backoff between rounds, in ms.
 const LAST_WAIT_MS: u64 = 500;
-/// How long after a job's deadline its answer may still come, in ms.
-/// Chosen, not measured.
+/// Time after a job's deadline for which its answer is awaited, in ms.
 const ANSWER_GRACE_MS: u64 = 2_000;
 
-/// A submission on its way to its shard's holder.
+/// A submission that is being forwarded.
 #[derive(Debug)]
 pub(super) struct Forward {
     waiter: Waiter,
@@ -34,23 +33,24 @@
     shard: ShardId,
     tried: Vec<Name>,
     rounds: u32,
-    /// True once a holder may have seen the submission.
+    /// True once a host may have handled the submission without its reply having come.
     sent: bool,
 }
 
-/// The submissions that this host passes on, and those that were passed to it.
+/// The submissions being forwarded, and the forwarded ones that were received.
 #[derive(Debug, Default)]
 pub(super) struct Forwards {
     pub(super) open: BTreeMap<u64, Forward>,
-    /// The number of the last one.
+    /// The key of the last submission forwarded.
     pub(super) last: u64,
-    /// The serial of the last request that passes one on.
+    /// The serial of the last forwarding request.
     pub(super) last_serial: u64,
-    /// Requests of other hosts that were seen, by serial.
+    /// Forwarding requests received from other hosts.
     pub(super) seen: SeenRequests,
 }
 
 impl Host {
+    /// Starts to forward a submission.
     pub(super) fn forward(&mut self, waiter: Waiter, submission: Submission) {
         self.forwards.last += 1;
         let forward = Forward {
@@ -65,7 +65,7 @@
         self.forward_next(self.forwards.last, None);
     }
 
-    /// Sends a submission to the next host that may hold its shard.
+    /// Sends a submission to the next host that may hold its shard, `hint` first.
     fn forward_next(&mut self, key: u64, hint: Option<Name>) {
         let Some(forward) = self.forwards.open.get_mut(&key) else {
             return;
@@ -91,8 +91,8 @@
         self.call_peer(Call::Forward(key), address, request, wait_ms);
     }
 
-    /// Nobody who was asked holds the shard: waits for it to find an owner, if
-    /// there is time and the answer would still be true.
+    /// Ends a round without a holder: waits for the next round if there is time, or
+    /// answers the caller.
     fn end_round(&mut self, key: u64) {
         let forward = self
             .forwards
@@ -125,7 +125,8 @@
         self.turn_away(forward.waiter, &forward.submission, answer);
     }
 
-    /// Tries again, here if the shard has come to this host meanwhile.
+    /// Starts the next round, or handles the submission here if this host has got the
+    /// shard meanwhile.
     pub(super) fn forward_again(&mut self, key: u64) {
         let Some(forward) = self.forwards.open.get(&key) else {
             return;
@@ -165,7 +166,7 @@
                 self.forward_next(key, None);
             }
             Err(SendFailure::Unknown) => {
-                // The holder's ledger makes another sending safe.
+                // The holder's ledger makes a repeated sending safe.
                 forward.sent = true;
                 self.waste(Waste::Lost);
                 self.end_round(key);
--- a/crates/entry-core/src/host/gossip.rs
+++ b/crates/entry-core/src/host/gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who is alive, what it holds, and what it promises.
+//! Heartbeats between hosts: liveness, held shards, spare slots, usage and promises.
 
 use std::collections::BTreeSet;
 
@@ -11,26 +11,25 @@
 use super::Host;
 use crate::event::{SendFailure, Token};
 
-/// A host counts for the division of slots while heard this lately, in ms.
-/// Chosen, not measured.
+/// A peer counts as alive for this long after its last status, in ms.
 pub(super) const SILENCE_MS: u64 = 3_000;
-/// Every so many heartbeats one goes to a host of another hall. Chosen, not measured.
+/// Number of heartbeat rounds per heartbeat to a host of another hall.
 const FAR_EVERY: u64 = 3;
-/// How long the reply to a heartbeat is awaited, in ms. Chosen, not measured.
+/// Timeout of the reply to a heartbeat, in ms.
 const HEARTBEAT_WAIT_MS: u64 = 1_000;
 
-/// Another entry host.
+/// The state of another entry host.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
-    /// Its last known run; none before it was heard.
+    /// Its last known incarnation; `None` before it is known.
     pub(super) id: Option<HostId>,
-    /// Its hall; empty before it was heard.
+    /// Its hall; empty before it is known.
     pub(super) hall: Name,
-    /// When it was last heard.
+    /// When its last status was received.
     pub(super) heard: Time,
-    /// When its own last heartbeat came, other than in reply to one.
+    /// When the last heartbeat that it initiated was received.
     pub(super) called: Time,
-    /// What it can lend.
+    /// Its state as a lender of slots.
     pub(super) lender: Lender,
     /// The slots that accounts use through it.
     pub(super) usage: Vec<(Name, u32)>,
@@ -50,6 +49,7 @@
 }
 
 impl Host {
+    /// Adds the peers of the settings.
     pub(super) fn add_seed_peers(&mut self) {
         for address in self.settings.peers.clone() {
             if address != self.settings.address {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns what this host says of itself to a host of a hall.
+    /// Returns this host's status for a host of `to_hall`.
     fn status(&self, to_hall: &Name) -> Status {
         let usage = if *to_hall == self.settings.hall {
             self.queue.usage()
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Sends heartbeats to the hall's hosts, and now and then to one beyond.
+    /// Sends heartbeats to the hall's hosts and, every few rounds, to one of another hall.
     pub(super) fn send_heartbeats(&mut self) {
         self.heartbeats += 1;
         self.add_peers_from_rows();
@@ -102,9 +102,9 @@
         }
     }
 
-    /// Tells whether a peer's own heartbeats serve this host too: one of each
-    /// two hosts need not send any while the other's come. With promises to
-    /// ask for, both send.
+    /// Returns true if a peer's own heartbeats suffice, so that this host need not send any:
+    /// of each pair, the host with the higher address relies on the other one's. With
+    /// promises to request, both send.
     fn leaves_heartbeat_to(&self, address: &Name, peer: &Peer) -> bool {
         let tuning = &self.settings.tuning;
         let recent = self.now.minus_millis(tuning.heartbeat_ms * 3 / 2);
@@ -139,8 +139,8 @@
         self.call_peer(purpose, address, request, HEARTBEAT_WAIT_MS);
     }
 
-    /// Adds the hosts that the halls' rows name, and forgets those that none
-    /// names any more.
+    /// Adds the hosts that the halls' rows name, and removes silent ones that neither the
+    /// rows nor the settings name.
     fn add_peers_from_rows(&mut self) {
         let halls: Vec<Name> = self.directory.halls().cloned().collect();
         let mut named: BTreeSet<Name> = self.settings.peers.iter().cloned().collect();
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Takes over what a peer says of itself.
+    /// Applies the status of a peer.
     fn heard(&mut self, status: Status) {
         if status.address == self.settings.address {
             return;
--- a/crates/entry-core/src/host/handover.rs
+++ b/crates/entry-core/src/host/handover.rs
@@ -1,4 +1,5 @@
-//! Gives shards to other hosts, with all that is remembered of them.
+//! Hands shards over to other hosts with the ledger's records of them, and receives
+//! handovers.
 
 use std::collections::BTreeMap;
 
@@ -15,19 +16,17 @@
 use crate::ledger::Waiter;
 use crate::ownership::Acceptance;
 
-/// How long the reply to a handover is awaited, in ms; chosen, not
-/// measured.
+/// Timeout of the reply to a handover, in ms.
 const HANDOVER_WAIT_MS: u64 = 1_000;
-/// Pause before a handover whose fate is unknown is sent again, in ms; chosen, not
-/// measured.
+/// Wait before a handover with an unknown outcome is sent again, in ms.
 pub(super) const HANDOVER_RETRY_MS: u64 = 100;
-/// Time that the new holder usually needs to write the table, in ms.
+/// Wait before the row is read after a handover, in ms; gives the new holder time to
+/// write it.
 const SETTLE_MS: u64 = 50;
-/// Pause after a handover was declined, in ms; chosen, not
-/// measured.
+/// Wait after a declined handover, in ms.
 const DECLINED_PAUSE_MS: u64 = 500;
 
-/// A submission that waits for its shard's handover to end.
+/// A submission that waits for the end of its shard's handover.
 #[derive(Debug)]
 struct Parked {
     shard: u16,
@@ -35,31 +34,33 @@
     submission: Submission,
 }
 
-/// Handovers on their way, and what was handed over.
+/// The handover in progress and the state that past ones left.
 #[derive(Debug, Default)]
 pub(super) struct Handovers {
     current: Option<Current>,
     parked: Vec<Parked>,
-    /// Where shards went whose jobs may still end here.
+    /// The addresses to which shards were handed over.
     pub(super) heirs: BTreeMap<u16, Name>,
-    /// Records that an heir hasn't confirmed yet.
+    /// Records that new holders haven't confirmed yet, by shard.
     pub(super) updates: BTreeMap<u16, PendingUpdate>,
-    /// The row's version at the last handover that wasn't for a stop.
+    /// The row's version at the last handover; rebalancing waits for a newer one.
     balanced_at: u64,
 }
 
+/// The handover in progress.
 #[derive(Debug)]
 struct Current {
     address: Name,
     handover: Box<Handover>,
-    /// True once the peer may have accepted.
+    /// True once a sending has an unknown outcome: the peer may have accepted.
     sent: bool,
-    /// True while a reply is awaited. Two sendings at a time could end in one
-    /// that fails and one that is accepted.
+    /// True while a reply is pending. Two sendings at a time could result in one that
+    /// fails and one that is accepted.
     awaited: bool,
 }
 
 impl Handovers {
+    /// Defers a submission until its shard's handover has ended.
     pub(super) fn park(&mut self, shard: u16, waiter: Waiter, submission: Submission) {
         self.parked.push(Parked {
             shard,
@@ -68,30 +69,30 @@
         });
     }
 
-    /// Tells whether nothing is on its way or waits.
+    /// Returns true if no handover, submission or record is pending.
     pub(super) fn is_idle(&self) -> bool {
         self.current.is_none() && self.parked.is_empty() && self.updates.is_empty()
     }
 }
 
 impl Host {
-    /// Tells whether some peer could take this host's shards.
+    /// Returns true if a peer could get a shard of this host, or gets one now.
     pub(super) fn can_hand_over(&self) -> bool {
         self.handovers.current.is_some() || self.ownership.surplus(self.now).is_some()
     }
 
-    /// Tells whether this shard is on its way to another host.
+    /// Returns true if this shard is being handed over.
     pub(super) fn is_handing_over(&self, shard: u16) -> bool {
         let current = self.handovers.current.as_ref();
         current.is_some_and(|c| c.handover.shard == shard)
     }
 
-    /// Offers the next shard that should go elsewhere.
+    /// Starts the next handover, if a shard should move and none is in progress.
     pub(super) fn offer_next(&mut self) {
         if self.handovers.current.is_some() {
             return;
         }
-        // The row must show the last handover before the next is worth it.
+        // Balance is computed from the row, so it must show the last handover.
         let version = self.ownership.version();
         if !self.stop.asked && self.handovers.balanced_at == version {
             return;
@@ -115,8 +116,8 @@
         self.send_handover();
     }
 
-    /// Finds a host for a stopping host's shards when the row names none that
-    /// is alive: it may not have been written for long.
+    /// Returns a peer for a stopping host's shards from recent heartbeats. Used when the
+    /// row, which may be outdated, names no live host.
     fn heir_in_outage(&self) -> Option<(u16, HostId, Name)> {
         if !self.stop.asked {
             return None;
@@ -129,7 +130,7 @@
         Some((shard, peer.id.clone()?, address.clone()))
     }
 
-    /// Sends the handover under way again, or begins the next.
+    /// Sends the handover in progress again, or starts the next.
     pub(super) fn continue_handover(&mut self) {
         if self.handovers.current.is_some() {
             self.send_handover();
@@ -166,11 +167,11 @@
         current.awaited = false;
         match reply {
             Ok(PeerReply::Done) => self.end_handover(true),
-            // The peer remembers its first reply to this serial.
+            // The peer gives the same reply to every copy of this serial.
             Ok(PeerReply::Declined) => self.end_handover(false),
             Err(SendFailure::NotSent) if !current.sent => self.end_handover(false),
-            // The peer may have accepted and be gone: the shard can't be
-            // taken back. It is taken over when this host's lease ends.
+            // The addressed incarnation may have accepted before it ended, so the shard can't
+            // be kept. It is taken over when this host's lease ends.
             Ok(PeerReply::NotAddressee) => self.end_handover(true),
             _ => {
                 current.sent = true;
@@ -181,7 +182,7 @@
 
     fn retry_handover(&mut self) {
         let lost = self.handovers.current.as_ref().is_some_and(|c| {
-            // Whatever the peer accepted has ended by then.
+            // Any right that the peer got has expired by then.
             self.now > c.handover.table_until.max(c.handover.heir_until)
         });
         if lost {
@@ -205,7 +206,7 @@
         } else {
             self.ownership.declined(shard);
             if let Some(peer) = self.peers.get_mut(&current.address) {
-                // Not heard, so that the next offer looks elsewhere.
+                // Counts as silent, so that the next offer goes to another peer.
                 peer.heard = Time::ZERO;
             }
             self.after(DECLINED_PAUSE_MS, Timer::Handover);
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Routes the submissions that waited for a handover.
+    /// Routes the submissions that were deferred during a handover.
     pub(super) fn release_parked(&mut self, shard: u16) {
         let parked = std::mem::take(&mut self.handovers.parked);
         for p in parked {
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Takes a shard that a peer hands over.
+    /// Handles a handover from a peer.
     pub(super) fn on_handover(&mut self, token: Token, mut handover: Handover) {
         let records = std::mem::take(&mut handover.records);
         let reply = match self.ownership.accept(&handover, self.now) {
@@ -250,6 +251,7 @@
         self.reply(token, reply);
     }
 
+    /// Merges records of another host into the ledger, and sends the answers now due.
     pub(super) fn merge_records(&mut self, records: Vec<LedgerRecord>) {
         for record in records {
             let shard = record.submission.shard(&record.account).index;
@@ -259,7 +261,7 @@
             for (waiter, answer) in answers {
                 self.answer(waiter, (*answer).clone());
             }
-            // The shard may have gone on to a third host meanwhile.
+            // The shard may have been handed over to a third host since.
             if record.answer.is_some() {
                 self.queue_update(shard, record);
             }
--- a/crates/entry-core/src/host/lend.rs
+++ b/crates/entry-core/src/host/lend.rs
@@ -1,4 +1,4 @@
-//! Lends free slots to peers that ask, now or once there are some.
+//! Lends free slots to peers that request them, at once or when some become free.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,15 @@
 use crate::event::Token;
 use crate::settings::Placement;
 
-/// Part of a host's slots that it doesn't lend to tasks over their quota, as
-/// a divisor. For other tasks it keeps nothing back: measured, an eighth kept
-/// made both the tail and the waste worse.
+/// Divisor for the part of a host's slots that it doesn't lend to tasks over their
+/// quota. For other tasks nothing is kept back.
 const KEEP_DIVISOR: u32 = 2;
-/// Longest time for which a question waits, whatever the asker says, in ms.
-/// Chosen, not measured.
+/// Longest time for which a borrow request waits, in ms.
 const LONGEST_WAIT_MS: u64 = 2_000;
-/// Most questions that wait at a time; beyond, they are answered at once.
-/// Chosen, not measured.
+/// Largest number of waiting borrow requests; further ones are answered at once.
 const MOST_QUESTIONS: usize = 256;
 
-/// A peer's question for slots.
+/// A peer's request to borrow slots.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Question {
     pub(super) token: Token,
@@ -32,10 +29,10 @@
     pub(super) wait_ms: u64,
 }
 
-/// Questions that wait for slots, the one that is due first in front.
+/// Borrow requests that wait for slots, by priority.
 #[derive(Debug, Default)]
 pub(super) struct Questions {
-    /// By whether they are over quota, due time and token.
+    /// The key is (over quota, due time, token): requests within quotas go first.
     waiting: BTreeMap<(bool, Time, Token), WaitingQuestion>,
 }
 
@@ -55,7 +52,7 @@
         self.waiting.insert(key, waiting);
     }
 
-    /// Tells whether the first question is for tasks over their quota.
+    /// Returns true if the first request is for tasks over their quota.
     fn first_is_over_quota(&self) -> Option<bool> {
         let ((over_quota, ..), _) = self.waiting.first_key_value()?;
         Some(*over_quota)
@@ -66,7 +63,7 @@
         Some((token, question.count))
     }
 
-    /// Takes out the questions that have waited long enough.
+    /// Removes and returns the requests that have waited long enough.
     fn pop_over(&mut self, now: Time) -> Vec<Token> {
         let over = self.waiting.iter().filter(|(_, q)| q.until <= now);
         let keys: Vec<_> = over.map(|(key, _)| *key).collect();
@@ -82,8 +79,8 @@
 }
 
 impl Host {
-    /// Returns how many slots this host could lend. Tasks over their quota
-    /// get less, here as at home.
+    /// Returns how many slots this host could lend. Tasks over their quota get fewer, as
+    /// they do on this host.
     fn lendable(&self, over_quota: bool) -> u32 {
         let lends = self.settings.tuning.placement == Placement::SharesLending;
         if !lends || self.stop.asked || self.queue.entitled() > 0 {
@@ -97,7 +94,7 @@
         self.targets.own_free().saturating_sub(keep)
     }
 
-    /// Returns what peers are told of this host's slots.
+    /// Returns the slots that this host reports as available to peers.
     pub(super) fn spare(&self) -> Spare {
         Spare {
             free: self.lendable(false),
@@ -106,11 +103,11 @@
         }
     }
 
-    /// Takes a peer's question: lends at once what it can, or lets the
-    /// question wait.
+    /// Handles a peer's borrow request: lends at once what is available, or lets the
+    /// request wait.
     pub(super) fn on_borrow(&mut self, from: &Name, question: Question) {
         if let Some(peer) = self.peers.get_mut(from) {
-            // Whoever asks has nothing to lend.
+            // A peer that borrows has nothing to lend.
             peer.lender.learn(Spare {
                 free: 0,
                 surplus: 0,
@@ -128,8 +125,7 @@
         self.timers.set(until, Timer::QuestionsOver);
     }
 
-    /// Lends to the peers whose questions wait, as far as slots have become
-    /// free.
+    /// Lends slots that have become free to the peers whose requests wait.
     pub(super) fn serve_questions(&mut self) {
         while let Some(over_quota) = self.questions.first_is_over_quota() {
             let lendable = self.lendable(over_quota);
@@ -142,20 +138,21 @@
         }
     }
 
-    /// Answers questions that have waited long enough.
+    /// Answers the requests that have waited long enough.
     pub(super) fn end_questions(&mut self) {
         for token in self.questions.pop_over(self.now) {
             self.lend(token, 0);
         }
     }
 
-    /// Answers all questions, since the host is stopping.
+    /// Answers all waiting requests, since the host is stopping.
     pub(super) fn dismiss_questions(&mut self) {
         while let Some((token, _)) = self.questions.pop_first() {
             self.lend(token, 0);
         }
     }
 
+    /// Lends `count` slots, or as many of them as are free, and replies.
     fn lend(&mut self, token: Token, count: u32) {
         let until = self.now.plus_millis(self.settings.tuning.loan_ms);
         let rng = &mut self.rng;
--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -1,14 +1,18 @@
 //! One entry host: events in, actions out.
 //!
-//! The modules below each add one part to [`Host`]. Submissions: `submit` takes them,
-//! `forward` passes them to the holder of their shard, `accept` decides which become
-//! jobs, `ends` ends jobs. Tasks: `run` starts them, `run_ends` takes the targets'
-//! replies, `ask` asks after lost ones, `retries` decides what is sent again. Slots:
-//! `borrow` and `lend` move free ones between hosts, `quotas` counts accounts' use.
-//! Shards: `owner` keeps the lease, `handover` gives shards away, `updates` tells
-//! their new hosts how jobs ended, `stopping` stops the host in order. What hosts
-//! know: `gossip` exchanges heartbeats, `follow` takes the configuration and the
-//! platform's list, `configure` writes operators' changes. `peers`
+//! Each submodule adds one part to [`Host`]:
+//!
+//! - Submissions: `submit` handles them, `forward` forwards them to the holder of their
+//!   shard, `accept` decides which become jobs, `ends` ends jobs.
+//! - Tasks: `run` starts them, `run_ends` handles the targets' replies, `ask` queries
+//!   targets after a lost reply, `retries` decides what is sent again.
+//! - Slots: `borrow` and `lend` move free ones between hosts, `quotas` tracks the
+//!   accounts' use.
+//! - Shards: `owner` renews the lease, `handover` hands shards over, `updates` reports
+//!   ended jobs to the new holders, `stopping` shuts the host down gracefully.
+//! - Shared state: `gossip` exchanges heartbeats, `follow` reads the configuration and
+//!   the platform's list, `configure` writes operators' changes.
+//! - `peers` dispatches peers' requests and replies; `calls` and `timers` serve all.
 //! leads peers' requests and replies to these; `calls` and `timers` serve them all.
 
 mod accept;
@@ -74,6 +78,7 @@
     settings: HostSettings,
     now: Time,
     rng: Pcg32,
+    /// The actions of the event being handled.
     out: Vec<Action>,
     timers: Timers,
     calls: Calls,
@@ -85,29 +90,31 @@
     last_job: u64,
     running: HashMap<CallId, RunningTask>,
     targets: Targets,
-    /// The platform's list as last read, for peers that start without it.
+    /// The platform's list as last read, also for peers that start without it.
     list: Option<HostList>,
     queue: Queue,
     borrowed: BorrowedSlots,
     lent: LentOut,
-    /// Peers' questions that wait for slots.
+    /// Peers' borrow requests that wait for slots.
     questions: Questions,
     pace: Pace,
     budget: RetryBudget,
     peers: BTreeMap<Name, Peer>,
-    /// The slots that accounts use in other halls, as last heard.
+    /// The slots that accounts use in other halls, as last reported.
     far_usage: FarUsage,
     forwards: Forwards,
     handovers: Handovers,
     changes: Changes,
     hall_reads: HallReads,
+    /// True while a read or write of the hall's row is in progress.
     row_busy: bool,
+    /// The number of heartbeat rounds so far.
     heartbeats: u64,
     stop: Stop,
 }
 
 impl Host {
-    /// Creates a host that knows nothing yet.
+    /// Creates a host without any state. Its first timers are due at once.
     #[must_use]
     pub fn new(settings: HostSettings, now: Time) -> Self {
         let tuning = &settings.tuning;
@@ -153,25 +160,25 @@
         host
     }
 
-    /// Returns the settings.
+    /// Returns the settings that the host was created with.
     #[must_use]
     pub fn settings(&self) -> &HostSettings {
         &self.settings
     }
 
-    /// Returns when the host wants its next [`Event::Tick`].
+    /// Returns when the next [`Event::Tick`] is due.
     #[must_use]
     pub fn next_timer(&self) -> Option<Time> {
         self.timers.next()
     }
 
-    /// Returns the version of the configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn config(&self) -> &ConfigStore {
         &self.config
     }
 
-    /// Returns this host's part in its hall's ownership.
+    /// Returns the ownership state of the hall's shards.
     #[must_use]
     pub fn ownership(&self) -> &Ownership {
         &self.ownership
@@ -183,33 +190,33 @@
         &self.targets
     }
 
-    /// Returns the number of submissions remembered.
+    /// Returns the number of submissions in the ledger.
     #[must_use]
     pub fn remembered(&self) -> usize {
         self.ledger.len()
     }
 
-    /// Returns the number of jobs that run.
+    /// Returns the number of jobs in progress.
     #[must_use]
     pub fn running_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Tells whether the host can serve: it has a configuration and knows
-    /// targets.
+    /// Returns true if the host can serve: it has a configuration, knows targets and isn't
+    /// stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.stop.asked && self.config.version() > 0 && !self.targets.is_empty()
     }
 
-    /// Takes one event at the time `now` and returns what is to be done.
+    /// Handles one event at the time `now` and returns the resulting actions.
     ///
     /// # Panics
     ///
-    /// Panics if an invariant is broken: going on could break a promise to a
-    /// caller.
+    /// Panics if an invariant is violated, since continuing could break a guarantee given
+    /// to a caller.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
-        // A clock that was set back must not bring a right back.
+        // A clock that is set back must not restore an expired right.
         self.now = self.now.max(now);
         self.ownership.touch(self.now);
         self.run_timers();
--- a/crates/entry-core/src/host/owner.rs
+++ b/crates/entry-core/src/host/owner.rs
@@ -1,5 +1,5 @@
-//! Keeps this host's lease on its hall's shards, and takes over from hosts
-//! that are gone.
+//! Renews this host's lease on its hall's shards, takes over shards, and reads the rows
+//! of other halls.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
 use crate::event::CallId;
 use crate::ownership::Changes;
 
-/// Shortest time between reads of another hall's row, in ms. Chosen, not measured.
+/// Shortest time between reads of another hall's row, in ms.
 const HALLS_READ_GAP_MS: u64 = 200;
 
-/// Reads of other halls' rows.
+/// The state of the reads of other halls' rows.
 #[derive(Debug, Default)]
 pub(super) struct HallReads {
-    /// When each was last read.
+    /// When each hall's row was last requested.
     pub(super) last_read: BTreeMap<Name, Time>,
-    /// How often one was read in turn.
+    /// The number of polls so far, which selects the next hall.
     pub(super) polls: usize,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Begins a renewal: reads the hall's row, then writes it.
+    /// Starts a renewal: reads the hall's row, then writes it.
     pub(super) fn read_row(&mut self) {
         if self.row_busy || self.stop.done {
             return;
@@ -66,13 +66,14 @@
         self.write_row();
     }
 
+    /// Applies the hall's row, if it is readable; an absent row is an empty one.
     fn adopt_rows(&mut self, rows: &[Row]) {
         let key = hall_key(&self.settings.hall);
         let (row, version) = match rows.iter().find(|row| row.key == key) {
             None => (HallRow::empty(), 0),
             Some(found) => match serde_json::from_str(&found.value) {
                 Ok(row) => (row, found.version),
-                // A newer release's row: this host must not write over it.
+                // Written by a newer release; this host must not overwrite it.
                 Err(_) => return,
             },
         };
@@ -80,6 +81,7 @@
         self.apply_changes(changes);
     }
 
+    /// Writes the row that this host wants, if it differs from the table's.
     fn write_row(&mut self) {
         let Some(row) = self.ownership.compose(self.now) else {
             return;
@@ -114,6 +116,7 @@
         }
     }
 
+    /// Acts on changes of ownership after a new row was applied.
     fn apply_changes(&mut self, changes: Changes) {
         let hall = self.settings.hall.clone();
         self.directory.set_row(&hall, self.ownership.row().clone());
@@ -139,9 +142,9 @@
         self.offer_next();
     }
 
-    /// Reads all halls' rows until they are known, and then one other hall's
-    /// row in turn: what changes meanwhile is told by heartbeats and by hosts
-    /// that no longer hold a shard.
+    /// Reads all halls' rows until some are known, and from then on one other hall's row in
+    /// turn. More recent changes are learnt from heartbeats and from hosts that no longer
+    /// hold a shard.
     pub(super) fn poll_halls(&mut self) {
         let own = &self.settings.hall;
         let others: Vec<Name> = self
@@ -159,7 +162,7 @@
         self.read_hall(&hall);
     }
 
-    /// Reads one hall's row, but not more often than useful.
+    /// Reads one hall's row, unless it was read just before.
     pub(super) fn read_hall(&mut self, hall: &Name) {
         let read = self.hall_reads.last_read.get(hall);
         if read.is_some_and(|at| self.now < at.plus_millis(HALLS_READ_GAP_MS)) {
--- a/crates/entry-core/src/host/peers.rs
+++ b/crates/entry-core/src/host/peers.rs
@@ -1,4 +1,4 @@
-//! Leads peers' requests and replies to the module that handles them.
+//! Dispatches peers' requests and replies to the modules that handle them.
 
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 
@@ -20,7 +20,7 @@
             Call::Handover { serial } => self.on_handover_reply(serial, reply),
             Call::Update { shard, tries } => self.on_update_reply(shard, tries, reply),
             Call::ConfigPull => self.on_config_pulled(reply),
-            // A lost return costs slots until the loan is overdue.
+            // If the return is lost, the lender reclaims the slots once the loan is overdue.
             Call::Return => {}
             Call::ReadRow
             | Call::WriteRow
--- a/crates/entry-core/src/host/quotas.rs
+++ b/crates/entry-core/src/host/quotas.rs
@@ -1,9 +1,9 @@
-//! Counts the slots that accounts use, and what their quotas leave.
+//! Tracks the slots that accounts use, and computes their quotas.
 //!
-//! A host knows its own use at once, that of its hall by heartbeats, and that
-//! of other halls by the heartbeats that now and then go between halls. So an
-//! account can go beyond its quota for as long as news take; its quota is its
-//! part of busy targets, not a bound that is never passed.
+//! A host knows its own use at once, that of its hall from heartbeats, and that of
+//! other halls from the less frequent heartbeats between halls. An account can therefore
+//! exceed its quota for as long as these updates take; the quota is a fair part under
+//! load, not a strict bound.
 
 use std::collections::BTreeMap;
 
@@ -17,12 +17,12 @@
 use super::Host;
 use crate::queue::Quota;
 
-/// Least part of a quota that a host has, in slots. Chosen, not measured.
+/// Smallest part of a quota that a host has, in slots.
 const LEAST_QUOTA: f64 = 1.0;
-/// How long news of another hall count, in ms. Chosen, not measured.
+/// Age up to which the usage reported by another hall counts, in ms.
 const FAR_NEWS_MS: u64 = 60_000;
 
-/// The slots that accounts use in other halls, as last heard.
+/// The slots that accounts use in other halls, as last reported.
 #[derive(Debug, Default)]
 pub(super) struct FarUsage {
     halls: BTreeMap<Name, HallUsage>,
@@ -43,8 +43,8 @@
 }
 
 impl Host {
-    /// Returns an account's quota and what of it is used elsewhere. This
-    /// host's part by shards is left to it in any case.
+    /// Returns an account's quota and its use elsewhere. The part that corresponds to this
+    /// host's share of shards is left to it in any case.
     pub(super) fn quota(&self, name: &Name, account: &Account) -> Quota {
         let quota = f64::from(account.quota_slots);
         let halls = account.halls.len() as f64;
@@ -79,7 +79,7 @@
         sums.into_iter().collect()
     }
 
-    /// Takes over what a host of another hall says of its hall.
+    /// Records the usage that a host of another hall reports for its hall.
     pub(super) fn heard_usage(&mut self, status: &Status) {
         let usage = HallUsage {
             heard: self.now,
@@ -88,7 +88,7 @@
         self.far_usage.halls.insert(status.hall.clone(), usage);
     }
 
-    /// Brings all accounts' quotas up to date.
+    /// Recomputes all accounts' quotas.
     pub(super) fn refresh_quotas(&mut self) {
         let accounts = self.queue.accounts();
         let quotas: Vec<_> = accounts
--- a/crates/entry-core/src/host/retries.rs
+++ b/crates/entry-core/src/host/retries.rs
@@ -1,10 +1,10 @@
-//! Decides whether a task without an output is sent again, and when.
+//! Decides whether and when a task without an output is sent again.
 //!
-//! A start that the target refused goes again for as long as its job has time; one
-//! that was not sent, at most `MOST_RETRIES` times a task. A run that began is
-//! repeated only where the account allows it, as often. Each retry spends from the
-//! host's budget (`crate::retry`); once that is used up, a task that never began
-//! waits `OUT_OF_BUDGET_MS`, and one that began fails its job.
+//! A start that the target refused is sent again while its job has time; one that was
+//! not sent, at most `MOST_RETRIES` times per task. A run that started is repeated only
+//! if the account allows it, with the same limit. Each retry spends from the host's
+//! budget (`crate::retry`); when it is exhausted, a task that never started waits
+//! `OUT_OF_BUDGET_MS`, and one whose run ended without an output fails its job.
 
 use gannetridge_entry_wire::FailureCause;
 
@@ -14,13 +14,14 @@
 use crate::charts::TaskEvent;
 use crate::keys::JobKey;
 
-/// Most times that one task is sent again. Chosen, not measured.
+/// Largest number of retries of one task.
 const MOST_RETRIES: u32 = 8;
-/// Wait before a task goes again when the retry budget is used up, in ms; chosen, not measured.
+/// Wait before a task is requeued when the retry budget is exhausted, in ms.
 const OUT_OF_BUDGET_MS: u64 = 200;
 
 impl Host {
-    /// Repeats a run that is proved over, if the account allows it.
+    /// Repeats a run that has ended without an output if the account, the limit and the
+    /// budget allow it, else fails the job.
     pub(super) fn end_without_output(&mut self, task: &RunningTask, cause: FailureCause) {
         let job = self.jobs.get_mut(&task.job).expect("the caller found it");
         job.advance(task.index, TaskEvent::Failed);
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Sends a task again that is proved not to run, within the budget.
+    /// Requeues a task whose run has certainly ended or never started, within the limit.
     pub(super) fn send_again(&mut self, key: JobKey, index: u32) {
         let retries = self.jobs[&key].tasks[index as usize].retries;
         if retries >= MOST_RETRIES {
@@ -47,6 +48,7 @@
         self.pay_and_requeue(key, index);
     }
 
+    /// Requeues a task at once if the retry budget allows it, else after a wait.
     pub(super) fn pay_and_requeue(&mut self, key: JobKey, index: u32) {
         if self.budget.spend(self.now) {
             self.requeue(key, index);
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Puts a task back among those that wait.
+    /// Puts a task back among the waiting ones.
     pub(super) fn requeue(&mut self, key: JobKey, index: u32) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
--- a/crates/entry-core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -1,4 +1,4 @@
-//! Starts tasks on targets, on slots of this hall's own or borrowed ones.
+//! Starts tasks on targets, on slots of this host's share or on borrowed ones.
 
 use gannetridge_entry_wire::target::StartTask;
 use gannetridge_entry_wire::{FailureCause, ShardId, TaskId, Time};
@@ -13,24 +13,23 @@
 use crate::queue::FreeSlots;
 use crate::targets::TargetIndex;
 
-/// Shortest lease of a task, in ms; chosen, not measured.
+/// Shortest lease of a task, in ms.
 const LEAST_LEASE_MS: u64 = 1_000;
-/// How long the reply to a question is awaited, in ms; chosen, not measured.
+/// Timeout of the reply to a status query, in ms.
 pub(super) const ASK_WAIT_MS: u64 = 500;
-/// Longest wait before a target is asked again, in ms; chosen, not measured.
+/// Longest backoff between status queries, in ms.
 pub(super) const LAST_ASK_MS: u64 = 500;
-/// A repeatable task is a straggler after this many times its expected time.
-/// Chosen, not measured.
+/// A repeatable task is a straggler after this many times its expected run time.
 const STRAGGLER_FACTOR: u64 = 4;
 
-/// Whose slot a task takes.
+/// The source of a task's slot.
 #[derive(Clone, Debug)]
 pub(super) enum SlotSource {
     Own,
     Loan(LoanKey),
 }
 
-/// A run of a task that was sent to a target.
+/// A run of a task that was sent to a target and holds a slot.
 #[derive(Clone, Debug)]
 pub(super) struct RunningTask {
     pub(super) job: JobKey,
@@ -42,14 +41,14 @@
     pub(super) expected_ms: u32,
     pub(super) sent: Time,
     pub(super) lease_past: Time,
-    /// True once the target is asked what became of the run.
+    /// True once the target is queried about the run.
     pub(super) asking: bool,
-    /// True once the target was asked to stop the run.
+    /// True once the target was requested to stop the run.
     pub(super) stopped: bool,
 }
 
 impl Host {
-    /// Starts tasks for as long as there are some and slots for them.
+    /// Starts waiting tasks while there are slots for them, and borrows slots for the rest.
     pub(super) fn pump(&mut self) {
         let mut passed = Vec::new();
         while self.queue.tasks() > 0 {
@@ -79,7 +78,8 @@
         self.schedule_returns();
     }
 
-    /// Fails a job whose tasks may not, or can't usefully, be started.
+    /// Fails a job whose next task can't end in time or may not be started any more.
+    /// Returns true if it did.
     pub(super) fn cannot_start(&mut self, key: JobKey) -> bool {
         let job = &self.jobs[&key];
         let next = job.waiting.front().expect("the queue names waiting jobs");
@@ -100,6 +100,7 @@
         false
     }
 
+    /// Takes a slot for a job's next task, of this host's share or else a borrowed one.
     fn take_slot(&mut self, key: JobKey) -> Option<(TargetIndex, SlotSource)> {
         let halls = &self.jobs[&key].account.halls;
         let allowed = |hall: &Name| halls.contains(hall);
@@ -116,6 +117,7 @@
         Some((target, SlotSource::Loan(loan)))
     }
 
+    /// Starts a job's next waiting task on a target.
     fn start(&mut self, key: JobKey, target: TargetIndex, source: SlotSource) {
         let job = self
             .jobs
@@ -173,6 +175,7 @@
         });
     }
 
+    /// Returns the start message of a task.
     fn compose_start(&self, key: JobKey, index: u32) -> StartTask {
         let job = &self.jobs[&key];
         let tuning = &self.settings.tuning;
--- a/crates/entry-core/src/host/run_ends.rs
+++ b/crates/entry-core/src/host/run_ends.rs
@@ -1,6 +1,7 @@
-//! Takes the targets' replies to starts, and what they tell of tasks and targets.
+//! Handles the targets' replies to starts and status queries, and updates tasks and
+//! targets accordingly.
 //!
-//! What follows a run without output is decided in `retries`.
+//! `retries` decides what follows a run without output.
 
 use gannetridge_entry_wire::target::{StartRefusal, TaskReport};
 use gannetridge_entry_wire::FailureCause;
@@ -13,7 +14,7 @@
 use crate::event::{CallId, SendFailure};
 use crate::targets::TargetIndex;
 
-/// How long a slot is left alone after its target was full, in ms; chosen, not measured.
+/// How long a slot stays unused after its target refused a task as full, in ms.
 const FULL_PAUSE_MS: u64 = 50;
 
 impl Host {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Frees the slot of a run that is over or never began.
+    /// Frees the slot of a run that has ended or never started.
     pub(super) fn end_run(&mut self, call: CallId, task: &RunningTask) {
         self.running.remove(&call);
         self.queue.slot_freed(task.account);
@@ -66,6 +67,7 @@
         }
     }
 
+    /// Updates the run time averages with a run that ended with an output.
     fn learn(&mut self, task: &RunningTask, ran_ms: u64) {
         let ratio = ran_ms as f32 / task.expected_ms as f32;
         let relative = ratio / self.pace.ratio();
@@ -89,7 +91,7 @@
         }
     }
 
-    /// The target reported that a run ended without an output.
+    /// Handles a run that ended without an output.
     fn on_failed(&mut self, task: &RunningTask, ran_ms: u64) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return self.waste(Waste::Late);
@@ -99,7 +101,7 @@
         self.end_without_output(task, FailureCause::TaskFailed);
     }
 
-    /// The target reported that a run is over, whether or not it ever began.
+    /// Handles a run that has ended, which may never have started.
     fn on_over(&mut self, task: &RunningTask) {
         if !self.jobs.contains_key(&task.job) {
             return self.waste(Waste::Late);
@@ -107,7 +109,7 @@
         self.end_without_output(task, FailureCause::TargetLost);
     }
 
-    /// Takes note that some source says a target is leaving.
+    /// Records a report that a target is leaving.
     pub(super) fn target_leaves(&mut self, target: TargetIndex) {
         let now = self.now;
         if self.settings.safeguards.heed_leaving {
@@ -115,6 +117,7 @@
         }
     }
 
+    /// Updates a target by the reason for which it refused a task.
     fn note_refusal(&mut self, task: &RunningTask, reason: StartRefusal) {
         match reason {
             StartRefusal::Full => {
@@ -126,7 +129,7 @@
         }
     }
 
-    /// The target proved that the run never began and never will.
+    /// Handles a run that never started and never will.
     fn on_never_begun(&mut self, task: &RunningTask, stale: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -135,10 +138,11 @@
         if stale {
             return self.fail_job(task.job, FailureCause::OwnerLost);
         }
-        // A full target is no fault: its task waits for as long as its job.
+        // A start without effect doesn't count against the task's retries.
         self.pay_and_requeue(task.job, task.index);
     }
 
+    /// Handles a start or query that got no reply.
     fn on_no_reply(&mut self, call: CallId, task: &RunningTask, failure: SendFailure) {
         self.waste(Waste::Lost);
         let now = self.now;
--- a/crates/entry-core/src/host/stopping.rs
+++ b/crates/entry-core/src/host/stopping.rs
@@ -1,5 +1,4 @@
-//! The host's stop in order: it hands over its shards, lets its jobs end and then
-//! has stopped.
+//! Graceful shutdown: the host hands over its shards, lets its jobs end and then stops.
 
 use gannetridge_entry_wire::Time;
 
@@ -7,23 +6,22 @@
 use super::Host;
 use crate::action::Action;
 
-/// How long a stopping host looks for one to take its shards, in ms; chosen, not
-/// measured.
+/// How long a stopping host tries to hand over its shards, in ms.
 const NO_HEIR_MS: u64 = 5_000;
 
-/// How far the host's stop in order has got.
+/// The state of the graceful shutdown.
 #[derive(Debug)]
 pub(super) struct Stop {
-    /// Whether it was asked to stop.
+    /// True once the shutdown was requested.
     pub(super) asked: bool,
-    /// When it gives up looking for a host to hand its shards to.
+    /// When the host stops trying to hand over its shards.
     pub(super) give_up_at: Time,
-    /// Whether it has stopped.
+    /// True once the host has stopped.
     pub(super) done: bool,
 }
 
 impl Stop {
-    /// A host that nobody asked to stop.
+    /// Returns the state of a host whose shutdown wasn't requested.
     pub(super) fn not_asked() -> Self {
         Self {
             asked: false,
@@ -48,7 +46,8 @@
         self.offer_next();
     }
 
-    /// Ends the host once nothing of it is needed any more.
+    /// Stops the host once no job, answer, change or handover is pending, and its shards are
+    /// handed over or the time for that is up.
     pub(super) fn check_stopped(&mut self) {
         if !self.stop.asked || self.stop.done {
             return;
--- a/crates/entry-core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -1,7 +1,7 @@
-//! Takes submissions: as the holder of their shard, or to pass them on.
+//! Handles submissions: answers them as the holder of their shard, or forwards them.
 //!
-//! A submission that the ledger knows gets the answer kept there; whether a new one
-//! becomes a job is decided in `accept`.
+//! A submission that the ledger knows gets the recorded answer; `accept` decides whether
+//! a new one becomes a job.
 
 use std::sync::Arc;
 
@@ -17,10 +17,12 @@
 use crate::ownership::Right;
 use crate::retry::spread_ms;
 
-/// When a caller may ask again for what isn't known yet, in ms; chosen, not measured.
+/// Suggested wait before a caller asks again about a pending or refused submission, in
+/// ms.
 pub(super) const ASK_AGAIN_MS: u64 = 500;
+
 impl Host {
-    /// Takes a submission to wherever its shard is.
+    /// Routes a submission to the holder of its shard.
     pub(super) fn route(&mut self, waiter: Waiter, submission: Submission) {
         let shard = submission.id.shard(&submission.account);
         if shard.hall != self.settings.hall {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Passes a caller's submission on; a peer is told where to go.
+    /// Forwards a caller's submission; replies to a peer with another address to try.
     fn pass_on(&mut self, waiter: Waiter, submission: Submission) {
         match waiter {
             Waiter::Caller(_) => self.forward(waiter, submission),
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Takes a submission whose shard this host holds.
+    /// Handles a submission of a shard that this host holds or acts for.
     pub(super) fn own(&mut self, waiter: Waiter, submission: Submission, shard: u16) {
         let key = EntryKey {
             account: submission.account.clone(),
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Answers a submission that the ledger knows.
+    /// Answers a submission from the ledger. Returns false if it has to be handled as new.
     fn answer_known(&mut self, waiter: Waiter, key: &EntryKey, submission: &Submission) -> bool {
         let Some(entry) = self.ledger.get_mut(key) else {
             return false;
@@ -112,7 +114,8 @@
         true
     }
 
-    /// Returns the final answer to an id that may have been started before.
+    /// Returns the final answer to a submission that an earlier owner may have started, or
+    /// whose id is too old to be started.
     fn too_old(&self, submission: &Submission, right: Right) -> Option<Answer> {
         let created = submission.id.created();
         let failed = |cause| {
@@ -131,6 +134,7 @@
         None
     }
 
+    /// Adds a final answer to the ledger.
     fn record_end(&mut self, key: EntryKey, shard: u16, submission: &Submission, end: &Answer) {
         let entry = Entry {
             shard,
@@ -143,8 +147,8 @@
         self.ledger.insert(key, entry);
     }
 
-    /// Refuses a new submission as its shard's owner. The refusal holds for
-    /// earlier sendings that are still on their way.
+    /// Refuses a new submission as its shard's owner. The refusal also covers earlier
+    /// sendings that are still in flight.
     pub(super) fn refuse_new(
         &mut self,
         waiter: Waiter,
@@ -168,6 +172,7 @@
         self.turn_away(waiter, submission, answer);
     }
 
+    /// Sends an answer to a submission that didn't become a job here, and counts refusals.
     pub(super) fn turn_away(&mut self, waiter: Waiter, submission: &Submission, answer: Answer) {
         if matches!(answer, Answer::Refused { .. }) {
             let account = submission.account.clone();
@@ -176,8 +181,8 @@
         self.answer(waiter, answer);
     }
 
-    /// Returns the answer to a submission that no host is known to own. It is
-    /// `not run` only where no earlier sending can have been started.
+    /// Returns the answer to a submission whose shard has no known owner. It is `not run`
+    /// only if no earlier sending can have been started.
     pub(super) fn unowned(&mut self, waiter: Waiter, submission: &Submission) -> Answer {
         let retry_after_ms = spread_ms(&mut self.rng, ASK_AGAIN_MS);
         if matches!(waiter, Waiter::PeerAgain(_)) || !self.is_first_sending(submission) {
@@ -194,8 +199,8 @@
         }
     }
 
-    /// Tells whether no other sending of the submission can exist: the caller
-    /// says so, and it is too young to have been sent again since.
+    /// Returns true if no other sending of the submission can exist: the caller marks it
+    /// as the first, and its id is too recent for a resend.
     fn is_first_sending(&self, submission: &Submission) -> bool {
         let tuning = &self.settings.tuning;
         let doubt_ms = tuning.caller_skew_ms + tuning.skew_ms;
--- a/crates/entry-core/src/host/timers.rs
+++ b/crates/entry-core/src/host/timers.rs
@@ -1,4 +1,4 @@
-//! What a host does at set times.
+//! The host's timers and the actions that they trigger.
 
 use std::collections::BTreeSet;
 
@@ -13,12 +13,12 @@
 use crate::keys::JobKey;
 use crate::targets::TargetIndex;
 
-/// Time between looks at what has grown old, in ms.
+/// Time between runs of the periodic maintenance, in ms.
 const HOUSEKEEPING_MS: u64 = 250;
-/// Time between reads of the other halls' rows, in ms. Chosen, not measured.
+/// Time between reads of the other halls' rows, in ms.
 const HALLS_POLL_MS: u64 = 5_000;
 
-/// Something to do at a set time.
+/// The action that a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Renew,
@@ -39,11 +39,11 @@
     Handover,
     Update(u16, u32),
     Change(u64),
-    /// Wakes a stopping host that found no heir.
+    /// Wakes a stopping host that couldn't hand over its shards in time.
     StopLimit,
 }
 
-/// The timers that are set.
+/// The pending timers in the order of their time.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     set: BTreeSet<(Time, Timer)>,
@@ -73,6 +73,7 @@
 }
 
 impl Host {
+    /// Sets the periodic timers for the first time.
     pub(super) fn set_first_timers(&mut self) {
         let now = self.now;
         self.timers.set(now, Timer::Renew);
@@ -83,13 +84,13 @@
         self.after(HOUSEKEEPING_MS, Timer::Housekeeping);
     }
 
-    /// Sets a timer some milliseconds from now.
+    /// Sets a timer that is due in `ms`.
     pub(super) fn after(&mut self, ms: u64, timer: Timer) {
         self.timers.set(self.now.plus_millis(ms), timer);
     }
 
-    /// Sets a timer that comes again, a little off, so that hosts that were
-    /// started together don't stay in step.
+    /// Sets a periodic timer with random jitter, so that hosts that were started together
+    /// don't stay synchronised.
     fn again(&mut self, ms: u64, timer: Timer) {
         let jitter = self.rng.random_range(0..=ms / 10);
         self.after(ms - ms / 20 + jitter, timer);
@@ -145,6 +146,7 @@
         }
     }
 
+    /// Runs the periodic maintenance.
     fn keep_house(&mut self) {
         self.targets.revive(self.now);
         self.lent.reclaim(&mut self.targets, self.now);
--- a/crates/entry-core/src/host/updates.rs
+++ b/crates/entry-core/src/host/updates.rs
@@ -1,7 +1,7 @@
-//! Tells the hosts that got shards how the jobs ended that began here, and gives up
-//! those that ran at a host that is gone.
+//! Reports the ends of jobs to the new holders of their shards, and fails submissions
+//! whose job ran at a host that didn't report its end.
 //!
-//! Relies on `handover`, which knows where each shard went.
+//! Relies on `handover` for the address of each shard's new holder.
 
 use std::sync::Arc;
 
@@ -16,29 +16,25 @@
 use crate::job::Job;
 use crate::ledger::EntryState;
 
-/// How long the reply to an update is awaited, in ms; chosen, not
-/// measured.
+/// Timeout of the reply to an update, in ms.
 const UPDATE_WAIT_MS: u64 = 500;
-/// Pause before an update is sent again, in ms; chosen, not
-/// measured.
+/// Wait before an update is sent again, in ms.
 const UPDATE_RETRY_MS: u64 = 200;
-/// Most times that an update is sent; chosen, not
-/// measured.
+/// Largest number of attempts to send an update.
 const MOST_UPDATES: u32 = 10;
-/// How long after its deadline a job that ran elsewhere is given up, in ms; chosen, not
-/// measured.
+/// Time after its deadline at which a job that runs elsewhere is failed, in ms.
 const ELSEWHERE_GRACE_MS: u64 = 3_000;
 
-/// Records for one heir.
+/// The records to send to a shard's new holder.
 #[derive(Debug, Default)]
 pub(super) struct PendingUpdate {
     records: Vec<LedgerRecord>,
-    /// How many of them are on their way.
+    /// The number of records, from the front, in the update in flight.
     sending: usize,
 }
 
 impl Host {
-    /// Tells the new holder of a job's shard how the job ended.
+    /// Reports the end of a job to the new holder of its shard, if there is one.
     pub(super) fn tell_heir(&mut self, job: &Job, answer: &Answer) {
         let record = LedgerRecord {
             account: job.entry.account.clone(),
@@ -51,7 +47,7 @@
         self.queue_update(job.authority.shard, record);
     }
 
-    /// Plans to tell a shard's heir, if there is one, what became of a job.
+    /// Adds a record for a shard's new holder, if there is one, and plans its sending.
     pub(super) fn queue_update(&mut self, shard: u16, record: LedgerRecord) {
         if !self.is_handing_over(shard) && !self.handovers.heirs.contains_key(&shard) {
             return;
@@ -63,6 +59,8 @@
         }
     }
 
+    /// Sends the pending records of a shard to its new holder; drops them after too many
+    /// attempts, or if there is no new holder.
     pub(super) fn send_update(&mut self, shard: u16, tries: u32) {
         if self.is_handing_over(shard) {
             return self.after(HANDOVER_RETRY_MS, Timer::Update(shard, tries));
@@ -106,7 +104,7 @@
         }
     }
 
-    /// Gives up jobs that ran at a host that is gone.
+    /// Fails submissions whose job ran at another host and is long past its deadline.
     pub(super) fn end_overdue_elsewhere(&mut self) {
         let before = self.now.minus_millis(ELSEWHERE_GRACE_MS);
         for key in self.ledger.overdue_elsewhere(before) {
--- a/crates/entry-core/src/job.rs
+++ b/crates/entry-core/src/job.rs
@@ -1,4 +1,4 @@
-//! A job that this host runs.
+//! A job that this host runs, and the state of its tasks.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -16,90 +16,90 @@
 /// One task of a running job.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// The state of the current run.
+    /// The state of the current run in the `TASK` chart.
     pub state: TaskState,
-    /// The current run.
+    /// The number of the current run, from 0.
     pub run: u32,
-    /// How long the task is expected to run, in ms.
+    /// The expected run time, in ms; at least 1.
     pub expected_ms: u32,
-    /// Where the current run was sent.
+    /// The target that the current run was sent to.
     pub target: Option<TargetIndex>,
-    /// When the current run is over on any clock.
+    /// The time after which the lease of the current run has expired on every clock.
     pub lease_past: Time,
-    /// How often the target was asked about the current run.
+    /// The number of status queries about the current run.
     pub asked: u32,
-    /// How often the task was sent again.
+    /// The number of retries that count against the task's limit.
     pub retries: u32,
-    /// What the target answered.
+    /// The output that the target returned.
     pub output: Option<String>,
 }
 
-/// The ownership under which a job was accepted.
+/// The shard ownership under which a job was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobAuthority {
-    /// The shard.
+    /// The shard's index within the hall.
     pub shard: u16,
-    /// The owner's epoch.
+    /// The shard's epoch at the acceptance.
     pub epoch: Epoch,
     /// The lowest epoch that may still start tasks.
     pub fence: Epoch,
 }
 
-/// What a job is made from.
+/// The validated input from which a [`Job`] is created.
 #[derive(Debug)]
 pub struct JobPlan {
-    /// The ledger's entry.
+    /// The key of the job's ledger entry.
     pub entry: EntryKey,
-    /// The ownership under which the job is accepted.
+    /// The shard ownership under which the job is accepted.
     pub authority: JobAuthority,
-    /// The account's parameters.
+    /// The account as configured.
     pub account: Arc<Account>,
-    /// The account's place in the queue.
+    /// The account's index in the queue.
     pub queue: AccountIndex,
-    /// The submission.
+    /// The submission as received.
     pub submission: Arc<Submission>,
-    /// The template's parameters as the account and the caller set them.
+    /// The template's parameters with the values of the account and the caller.
     pub parameters: Arc<BTreeMap<String, ParameterValue>>,
-    /// The usual time of a task that doesn't name its own, in ms.
+    /// The expected run time of tasks that don't state one, in ms.
     pub expected_ms: u32,
 }
 
-/// A job that this host runs.
+/// A job with its tasks. It exists from its acceptance to its answer.
 #[derive(Debug)]
 pub struct Job {
-    /// The ledger's entry.
+    /// The key of the job's ledger entry.
     pub entry: EntryKey,
-    /// The ownership under which it was accepted.
+    /// The shard ownership under which the job was accepted.
     pub authority: JobAuthority,
-    /// The account's parameters when it was accepted.
+    /// The account as configured when the job was accepted.
     pub account: Arc<Account>,
-    /// The account's place in the queue.
+    /// The account's index in the queue.
     pub queue: AccountIndex,
-    /// The submission.
+    /// The submission as received.
     pub submission: Arc<Submission>,
-    /// The template's parameters as the account and the caller set them.
+    /// The template's parameters with the values of the account and the caller.
     pub parameters: Arc<BTreeMap<String, ParameterValue>>,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted: Time,
-    /// The latest useful end.
+    /// The time after which the job fails.
     pub deadline: Time,
-    /// When its tasks should have begun, which orders it among those that
-    /// wait.
+    /// The time by which its tasks should have started; orders the waiting jobs of an
+    /// account.
     pub due: Time,
-    /// Its tasks.
+    /// The tasks, in the submission's order.
     pub tasks: Vec<Task>,
-    /// Tasks that wait, the longest first.
+    /// Indices of waiting tasks, the longest first; requeued ones are in front.
     pub waiting: VecDeque<u32>,
-    /// Tasks whose end is not known yet.
+    /// The number of tasks without an output so far.
     pub open: usize,
-    /// The longest run of a task, in ms.
+    /// The longest reported run time of a task, in ms.
     pub slowest_ms: u64,
-    /// True once a target has reported that a task ran.
+    /// True once a task is known, or has to be assumed, to have run.
     pub ran: bool,
 }
 
 impl Job {
-    /// Creates a job whose tasks all wait.
+    /// Creates a job with all tasks waiting.
     #[must_use]
     pub fn new(plan: JobPlan, now: Time) -> Self {
         let JobPlan {
@@ -160,33 +160,33 @@
         &self.submission.template
     }
 
-    /// Tells whether any task may have run.
+    /// Returns true if any task may have run.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         let idle = |t: &Task| matches!(t.state, TaskState::Queued | TaskState::Dropped);
         self.ran || !self.tasks.iter().all(idle)
     }
 
-    /// Returns what all its tasks need together, in ms of one slot.
+    /// Returns the expected run time of all tasks together, in ms of one slot.
     #[must_use]
     pub fn work_ms(&self) -> u64 {
         self.tasks.iter().map(|t| u64::from(t.expected_ms)).sum()
     }
 
-    /// Returns the longest expected time of a task, in ms.
+    /// Returns the longest expected run time of a task, in ms.
     #[must_use]
     pub fn longest_ms(&self) -> u32 {
         self.tasks.iter().map(|t| t.expected_ms).max().unwrap_or(0)
     }
 
-    /// Moves a task on.
+    /// Applies an event to a task's state and returns the new state.
     pub fn advance(&mut self, index: u32, event: TaskEvent) -> TaskState {
         let task = &mut self.tasks[index as usize];
         TASK.advance(&mut task.state, event);
         task.state
     }
 
-    /// Notes a task's output.
+    /// Records the output of a task that ended.
     pub fn finish_task(&mut self, index: u32, output: String, ran_ms: u64) {
         self.advance(index, TaskEvent::Done);
         self.tasks[index as usize].output = Some(output);
@@ -195,9 +195,12 @@
         self.slowest_ms = self.slowest_ms.max(ran_ms);
     }
 
-    /// Puts a task back among those that wait. The next start goes under a
-    /// new run, so that whatever is still on its way for the old one can't be
-    /// taken for it.
+    /// Puts a task back in front of the waiting ones under a new run number, so that late
+    /// messages of the previous run aren't attributed to the new one.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the previous run isn't proved to have ended or never to have started.
     pub fn requeue(&mut self, index: u32) {
         let task = &mut self.tasks[index as usize];
         assert_eq!(
@@ -211,11 +214,11 @@
         self.waiting.push_front(index);
     }
 
-    /// Takes the results out once all tasks are done.
+    /// Takes the results out of the tasks once all are done.
     ///
     /// # Panics
     ///
-    /// Panics if a task is not done: a partial answer must not leave.
+    /// Panics if a task isn't done: a partial answer must not be sent.
     #[must_use]
     pub fn take_results(&mut self) -> Vec<TaskResult> {
         let mut results = Vec::with_capacity(self.tasks.len());
--- a/crates/entry-core/src/keys.rs
+++ b/crates/entry-core/src/keys.rs
@@ -1,22 +1,21 @@
-//! Names of jobs, of the ledger's entries and of the queue's accounts, which the modules
-//! that own these have in common.
+//! Keys of jobs, ledger entries and queue accounts, shared by several modules.
 
 use gannetridge_entry_wire::SubmissionId;
 use gannetridge_wire::Name;
 
-/// A running job's number on this host.
+/// A running job's number, unique on this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobKey(pub u64);
 
-/// Names an entry: ids are the accounts' own.
+/// The key of a ledger entry. Submission ids are unique only within an account.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryKey {
-    /// The account.
+    /// The client account.
     pub account: Name,
-    /// The submission.
+    /// The submission's id.
     pub submission: SubmissionId,
 }
 
-/// An account's position in the queue.
+/// An account's index in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AccountIndex(pub(crate) usize);
--- a/crates/entry-core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -1,4 +1,7 @@
-//! What a host remembers of the submissions that it owns.
+//! The ledger: the submissions that a host owns, and their outcomes.
+//!
+//! It makes a submission that is sent repeatedly run at most once, and supplies the
+//! records that go with a shard to its new holder.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,27 +13,28 @@
 use crate::event::Token;
 use crate::keys::{EntryKey, JobKey};
 
-/// Who waits for an answer.
+/// The recipient of a submission's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
-    /// A caller of this host.
+    /// A caller that is connected to this host.
     Caller(Token),
-    /// A peer, on behalf of its caller.
+    /// A peer that forwarded the submission for its caller.
     Peer(Token),
-    /// A peer that has passed the submission on before, to an unknown end.
+    /// A peer that forwarded the submission before and doesn't know the outcome.
     PeerAgain(Token),
 }
 
-/// What became of a submission.
+/// The state of a submission.
 #[derive(Clone, Debug)]
 pub enum EntryState {
-    /// It runs here.
+    /// The job runs on this host.
     Running(JobKey),
-    /// It runs at a host that handed its shard over, until its deadline.
+    /// The job runs at the host that handed its shard over, until its deadline.
     Elsewhere,
-    /// It has its final answer.
+    /// The job ended with this final answer.
     Ended(Arc<Answer>),
-    /// It was refused as not run, which holds for all sendings so far.
+    /// The submission was refused as not run. This covers all sendings up to the
+    /// entry's `attempt`; a later sending may run.
     Refused,
 }
 
@@ -40,20 +44,20 @@
     }
 }
 
-/// An entry of the ledger.
+/// The ledger's entry for one submission.
 #[derive(Debug)]
 pub struct Entry {
-    /// The shard, by which entries are handed over.
+    /// The shard's index; entries are handed over by shard.
     pub shard: u16,
-    /// The digest of the contents.
+    /// The digest of the submission's contents.
     pub digest: u128,
-    /// What became of it.
+    /// The submission's state.
     pub state: EntryState,
-    /// The greatest count of sendings seen.
+    /// The highest sending number received.
     pub attempt: u32,
     /// The job's deadline.
     pub deadline: Time,
-    /// Who waits for the answer.
+    /// The recipients of the answer while it is pending.
     pub waiters: Vec<Waiter>,
 }
 
@@ -65,12 +69,12 @@
     retention_ms: u64,
 }
 
-/// Entries are forgotten in steps of this many milliseconds. Chosen, not measured.
+/// Granularity of the expiry of entries, in ms.
 const EXPIRY_STEP_MS: u64 = 1_000;
 
 impl Ledger {
-    /// Creates an empty ledger that remembers ids for `retention_ms` after
-    /// their creation.
+    /// Creates an empty ledger that keeps entries for `retention_ms` after the
+    /// creation of their ids.
     #[must_use]
     pub fn new(retention_ms: u64) -> Self {
         Self {
@@ -85,18 +89,18 @@
         self.entries.len()
     }
 
-    /// Returns an entry.
+    /// Returns the entry of a submission.
     #[must_use]
     pub fn get(&self, key: &EntryKey) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// Returns an entry to change.
+    /// Returns the entry of a submission for modification.
     pub fn get_mut(&mut self, key: &EntryKey) -> Option<&mut Entry> {
         self.entries.get_mut(key)
     }
 
-    /// Adds an entry.
+    /// Adds an entry and schedules its expiry.
     pub fn insert(&mut self, key: EntryKey, entry: Entry) {
         let expires = key.submission.created().plus_millis(self.retention_ms);
         let step = expires.max(entry.deadline).as_millis() / EXPIRY_STEP_MS + 1;
@@ -104,7 +108,7 @@
         self.entries.insert(key, entry);
     }
 
-    /// Tells whether anybody waits for an answer.
+    /// Returns true if an answer is pending for any caller or peer.
     #[must_use]
     pub fn has_waiters(&self) -> bool {
         self.entries.values().any(|entry| !entry.waiters.is_empty())
@@ -115,8 +119,8 @@
         self.entries.remove(key);
     }
 
-    /// Forgets entries whose ids are too old to be started by anybody, and
-    /// whose jobs have ended.
+    /// Removes entries that are past their retention and deadline, except those of jobs
+    /// that still run.
     pub fn sweep(&mut self, now: Time) {
         let step = now.as_millis() / EXPIRY_STEP_MS;
         while let Some(first) = self.by_expiry.first_entry() {
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Returns what a new owner of a shard must know.
+    /// Returns the records that a new owner of the shard needs, by submission id.
     #[must_use]
     pub fn records_of(&self, shard: u16) -> Vec<LedgerRecord> {
         let of_shard = self
@@ -152,8 +156,8 @@
         records
     }
 
-    /// Takes over what another host remembers. Returns whom to answer, or
-    /// `None` if nothing was news.
+    /// Merges a record of another host. Returns the answers that are now due, or `None`
+    /// if the record contains nothing new.
     pub fn merge(
         &mut self,
         shard: u16,
@@ -195,7 +199,7 @@
         Some(Vec::new())
     }
 
-    /// Returns the entries that ran at another host and whose deadline passed
+    /// Returns the submissions that run at another host and whose deadline passed
     /// before `before`.
     #[must_use]
     pub fn overdue_elsewhere(&self, before: Time) -> Vec<EntryKey> {
--- a/crates/entry-core/src/lib.rs
+++ b/crates/entry-core/src/lib.rs
@@ -1,13 +1,12 @@
-//! The decisions of an entry host, without any input or output.
+//! The decision logic of an entry host, free of I/O.
 //!
-//! [`Host`] takes events and the time, and gives back actions. It opens no
+//! [`Host`] takes events and the current time and returns actions. It opens no
 //! socket, reads no clock, starts no thread, and draws its random numbers from
-//! a seed. The same code runs under real sockets, in randomised runs and in
-//! replays of recorded traces.
+//! a seeded generator. The same code runs behind real sockets and in simulations.
 //!
-//! - `ownership`: which submissions this host may start, and until when.
-//! - `ledger`: what it remembers of them.
-//! - `admission`, `queue`: which jobs are taken, and whose turn it is.
+//! - `ownership`: the shards whose submissions this host may start, and until when.
+//! - `ledger`: the submissions that this host owns, and their outcomes.
+//! - `admission`, `queue`: which jobs are accepted, and in which order they get slots.
 //! - `targets`, `health`, `loans`: where tasks run.
 //! - `config_store`: the configuration in force.
 
--- a/crates/entry-core/src/loans.rs
+++ b/crates/entry-core/src/loans.rs
@@ -1,8 +1,8 @@
 //! Slots lent to peers and borrowed from them.
 //!
-//! A loan names its slots and ends by itself: the borrower starts nothing on
-//! it after its end, and the lender takes the slots back some time later, even
-//! if it never hears from the borrower again.
+//! A loan names its slots and expires by itself: the borrower starts nothing on them
+//! after its end, and the lender reclaims them some time later even without a message
+//! from the borrower.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,31 +12,36 @@
 
 use crate::targets::{TargetIndex, Targets};
 
-/// How long after a loan's end the lender counts its slots as free, in ms.
+/// Time after a loan's end at which the lender reclaims slots not yet returned, in ms.
 const OVERDUE_MS: u64 = 10_000;
 
-/// A loan as the borrower knows it: the lender's address and number.
+/// Identifies a loan at the borrower.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoanKey {
     /// The lender's address.
     pub lender: Name,
-    /// The lender's number of the loan.
+    /// The number that the lender gave the loan.
     pub loan: u64,
 }
 
-/// A borrowed slot that no task uses.
+/// A borrowed slot that no task occupies.
 #[derive(Clone, Debug)]
 struct Credit {
     key: LoanKey,
     target: TargetIndex,
 }
 
+/// A loan at the borrower.
 #[derive(Debug)]
 struct Borrowed {
     until: Time,
+    /// Slots not yet given back.
     outstanding: u32,
+    /// True once a task has occupied one of the slots.
     used: bool,
+    /// Slots given back so far, by target.
     returned: BTreeMap<TargetIndex, u32>,
+    /// True if `returned` has changed since it was last reported to the lender.
     changed: bool,
 }
 
@@ -45,22 +50,23 @@
 pub struct BorrowedSlots {
     loans: BTreeMap<LoanKey, Borrowed>,
     credits: VecDeque<Credit>,
+    /// True while a flush is planned.
     flush_due: bool,
 }
 
-/// Tells a lender what comes back.
+/// The slots of a loan that were given back, for a report to the lender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoanReturn {
-    /// The loan.
+    /// The loan that the slots belong to.
     pub key: LoanKey,
-    /// All slots returned so far.
+    /// The number of slots returned so far, by target.
     pub returned: Vec<(TargetIndex, u32)>,
-    /// True if all slots came back and no task ever used one.
+    /// True if all slots were given back and no task ever occupied one.
     pub unused: bool,
 }
 
 impl BorrowedSlots {
-    /// Notes a loan.
+    /// Adds a loan that expires at `until`.
     pub fn add(&mut self, key: LoanKey, slots: &[(TargetIndex, u32)], until: Time) {
         let outstanding = slots.iter().map(|(_, count)| count).sum();
         for (target, count) in slots {
@@ -82,13 +88,13 @@
         self.loans.insert(key, borrowed);
     }
 
-    /// Returns the number of slots that no task uses.
+    /// Returns the number of slots that no task occupies.
     #[must_use]
     pub fn idle(&self) -> usize {
         self.credits.len()
     }
 
-    /// Takes a slot for a task. Slots whose loan is over go back.
+    /// Takes an unoccupied slot for a task. Slots of expired loans are given back.
     pub fn take(
         &mut self,
         now: Time,
@@ -111,8 +117,8 @@
         None
     }
 
-    /// Takes note that a task on a borrowed slot is over. The slot is kept
-    /// for the next task if `keep` and the loan allow it.
+    /// Releases a slot after its task has ended. The slot is kept for another task if
+    /// `keep` is set and the loan hasn't expired.
     pub fn release(&mut self, key: LoanKey, target: TargetIndex, keep: bool, now: Time) {
         let running = self.loans.get(&key).is_some_and(|l| now < l.until);
         if keep && running {
@@ -122,7 +128,7 @@
         }
     }
 
-    /// Gives all slots back that no task uses.
+    /// Gives back all slots that no task occupies.
     pub fn give_back_idle(&mut self) {
         for credit in std::mem::take(&mut self.credits) {
             self.give_back(&credit.key, credit.target);
@@ -137,7 +143,8 @@
         }
     }
 
-    /// Returns what lenders have to be told, and forgets loans that are over.
+    /// Returns the reports that are due to lenders, and removes loans whose slots were
+    /// all given back.
     pub fn flush(&mut self) -> Vec<LoanReturn> {
         self.flush_due = false;
         let mut returns = Vec::new();
@@ -155,7 +162,7 @@
         returns
     }
 
-    /// Tells once after each change whether a flush has to be planned.
+    /// Returns true if a flush has to be planned; after that, false until the next flush.
     pub fn needs_flush(&mut self) -> bool {
         let changed = !self.flush_due && self.loans.values().any(|loan| loan.changed);
         self.flush_due |= changed;
@@ -163,8 +170,10 @@
     }
 }
 
+/// A loan at the lender.
 #[derive(Debug)]
 struct Lent {
+    /// The time at which slots not yet returned are reclaimed.
     overdue: Time,
     slots: Vec<LentSlots>,
 }
@@ -184,8 +193,8 @@
 }
 
 impl LentOut {
-    /// Lends up to `count` free slots; `choose` names the target of each.
-    /// Returns the loan's number and its slots.
+    /// Lends up to `count` free slots until `until`; `choose` selects the target of each.
+    /// Returns the loan's number and the slots lent.
     pub fn lend(
         &mut self,
         targets: &mut Targets,
@@ -220,8 +229,8 @@
         (self.last, grants)
     }
 
-    /// Takes slots back. `returned` counts from the loan's beginning, so that
-    /// the same message may come twice or late.
+    /// Records slots that a borrower gave back. `returned` contains the total since the
+    /// start of the loan, so a repeated or late message does no harm.
     pub fn returned(&mut self, targets: &mut Targets, loan: u64, returned: &[Grant]) {
         let Some(lent) = self.loans.get_mut(&loan) else {
             return;
@@ -243,7 +252,7 @@
         }
     }
 
-    /// Takes slots back whose borrower has been silent for too long.
+    /// Reclaims the slots of loans that are overdue.
     pub fn reclaim(&mut self, targets: &mut Targets, now: Time) {
         self.loans.retain(|_, lent| {
             if now < lent.overdue {
--- a/crates/entry-core/src/ownership/handing.rs
+++ b/crates/entry-core/src/ownership/handing.rs
@@ -1,4 +1,7 @@
-//! Shards on their way from one host to another.
+//! Handovers of shards from one host to another, at the sender and at the receiver.
+//!
+//! The receiver acts for the holder under the holder's lease until it has claimed the
+//! shard in the table.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +13,8 @@
 use crate::charts::{ShardEvent, ShardState, SHARD};
 
 impl Ownership {
-    /// Returns a shard that should go to a peer that holds fewer, and the
-    /// peer. A stopping host gives all its shards away.
+    /// Returns a shard to hand over and the peer that should get it: to balance the number
+    /// of shards per host, or to get rid of all when this host is stopping.
     #[must_use]
     pub fn surplus(&self, now: Time) -> Option<(u16, Member)> {
         let shard = self.first_to_give()?;
@@ -32,17 +35,17 @@
         (self.stopping || mine > theirs + 1).then(|| (shard, to.clone()))
     }
 
-    /// Tells whether every member may take over from this host. It lets nobody
-    /// in while a shard is on its way, so it must not begin to hand shards
-    /// over before.
+    /// Returns true if the row lets every member take over from this host. While a
+    /// handover is unsettled, members that joined since are kept from that, so no handover
+    /// may be started before.
     pub(super) fn has_let_all_in(&self) -> bool {
         let newest = self.row.members.iter().map(|m| m.joined).max();
         let mine = self.row.member(&self.me);
         mine.is_some_and(|m| Some(m.renewed) >= newest)
     }
 
-    /// Returns the first shard that may be handed over. One that a write on
-    /// its way claims may change its epoch at any moment and has to stay.
+    /// Returns the first shard that may be handed over. A shard that a write in progress
+    /// claims is excluded, since its epoch may change at any moment.
     #[must_use]
     pub fn first_to_give(&self) -> Option<u16> {
         let shards = self.shards.iter().enumerate();
@@ -55,11 +58,11 @@
         free.next().map(|(i, _)| i as u16)
     }
 
-    /// Begins to hand a shard over. From here on nothing is started under it.
+    /// Starts to hand a shard over. Submissions of it are no longer accepted here.
     ///
     /// # Panics
     ///
-    /// Panics if the shard isn't this host's to give.
+    /// Panics if this host doesn't hold or act for the shard, or has no lease for it.
     pub fn offer(
         &mut self,
         shard: u16,
@@ -73,8 +76,8 @@
         let local = local.clone();
         let lease = &self.leases[&local.holder];
         let heir_until = self.heir_promise(lease, now);
-        // Promises that came after a lapse don't bring the right back, and a
-        // later run of the holder is bound by `heir_until` only.
+        // Promises received after the expiry don't restore the right, and a later
+        // incarnation of the holder is bound by `heir_until` only.
         let passed_on = lease.table_until.max(heir_until);
         let lapsed = lease.lapsed || local.lapsed;
         let valid_until = if lapsed {
@@ -103,21 +106,23 @@
         }
     }
 
+    /// Returns a possible successor with its known address.
     fn taker(&self, id: &HostId) -> Taker {
         let address = self.runs.address(id).cloned();
         Taker {
             id: id.clone(),
-            // Without an address nothing proves that it ended.
+            // With an empty address the receiver can't detect that the host has ended.
             address: address.unwrap_or_default(),
         }
     }
 
-    /// Returns until when no later run of the holder takes its shards over:
-    /// each waits for a lease's length after its start.
+    /// Returns the time before which no later incarnation of the holder takes its shards
+    /// over: each waits for the duration of a lease after its start.
     pub(super) fn heir_promise(&self, lease: &HolderLease, now: Time) -> Time {
         lease.heir_until.min(now.plus_millis(self.tuning.lease_ms))
     }
 
+    /// Returns the promises received for a holder's shards.
     pub(super) fn promises_for(&self, holder: &HostId) -> Vec<TakerPromise> {
         let promises = self.promises.iter().filter(|((h, _), _)| h == holder);
         let promise = |((_, taker), until): (&(HostId, HostId), &Time)| TakerPromise {
@@ -127,13 +132,13 @@
         promises.map(promise).collect()
     }
 
-    /// Tells whether a holder was an earlier run of this host.
+    /// Returns true if a holder was an earlier incarnation of this host.
     fn is_earlier_run(&self, holder: &HostId) -> bool {
         let here = self.runs.address(holder) == Some(&self.address);
         here && holder.name == self.me.name && holder.incarnation < self.me.incarnation
     }
 
-    /// Notes that the peer declined, so that the shard is this host's again.
+    /// Records that the peer declined; the shard returns to this host.
     pub fn declined(&mut self, shard: u16) {
         let local = &mut self.shards[usize::from(shard)];
         if local.state != ShardState::HandingOver {
@@ -147,7 +152,7 @@
         SHARD.advance(&mut local.state, event);
     }
 
-    /// Notes that the peer accepted, or that this can't be ruled out.
+    /// Records that the peer accepted, or that it may have.
     pub fn passed(&mut self, handover: &Handover) {
         let local = &mut self.shards[usize::from(handover.shard)];
         if local.state != ShardState::HandingOver {
@@ -157,7 +162,7 @@
         local.passed = local.holder == self.me;
     }
 
-    /// Decides on a shard that a peer hands over.
+    /// Decides on a handover received from a peer.
     pub fn accept(&mut self, handover: &Handover, now: Time) -> Acceptance {
         self.touch(now);
         let once = self.safeguards.handover_once;
@@ -174,6 +179,7 @@
         acceptance
     }
 
+    /// Decides on a handover that wasn't received before.
     pub(super) fn accept_new(&mut self, handover: &Handover, now: Time) -> Acceptance {
         let shard = usize::from(handover.shard);
         let row = self.row.shards.get(shard);
@@ -198,6 +204,7 @@
         Acceptance::Accepted
     }
 
+    /// Adds the lease of the holder that this host acts for, or extends it.
     pub(super) fn act_for(&mut self, handover: &Handover, now: Time) {
         let holder = handover.holder.clone();
         for taker in handover.takers.iter().filter(|t| !t.address.is_empty()) {
@@ -211,7 +218,7 @@
         let known = self.leases.get(&holder);
         takers.extend(known.into_iter().flat_map(|l| l.takers.iter().cloned()));
         takers.remove(&self.me);
-        // The holder's later run is this host itself: no other can be.
+        // The later incarnation of the holder is this host itself; there is no other.
         let heir_until = if self.is_earlier_run(&holder) {
             Time::MAX
         } else {
--- a/crates/entry-core/src/ownership/mod.rs
+++ b/crates/entry-core/src/ownership/mod.rs
@@ -1,11 +1,11 @@
-//! Which shards this host may start submissions of, and until when.
+//! Ownership of shards: which submissions this host may start, and until when.
 //!
-//! Ownership stands in the hall's row of the platform's table and moves by
+//! Ownership is recorded in the hall's row of the platform's table and changes by
 //! compare-and-set.
 //!
-//! `rights` says until when a right lasts, `table` reads and writes the row,
-//! `promises` keeps what hosts promise each other, `handing` moves shards between
-//! hosts, `runs` knows which hosts have ended.
+//! `rights` computes how long a right lasts, `table` reads and writes the row,
+//! `promises` tracks the hosts' promises not to take over, `handing` moves shards
+//! between hosts, `runs` tracks which incarnations have ended.
 
 mod handing;
 mod promises;
@@ -26,59 +26,68 @@
 use crate::charts::{ShardState, SHARD};
 use crate::settings::{HostSettings, Safeguards, Tuning};
 
-/// How long after its lease's end a host without shards stays in the row.
-/// Chosen, not measured.
+/// Time after the end of its lease at which a host without shards is removed from the
+/// row.
 const FORGET_MEMBER_MS: u64 = 60_000;
 
-/// This host's view of one shard.
+/// The local state of one shard.
 #[derive(Clone, Debug)]
 struct LocalShard {
     state: ShardState,
-    /// The holder that the row names; this host, unless it acts for another.
+    /// The holder that the row names: this host, or the one that it acts for.
     holder: HostId,
     epoch: Epoch,
     fence: Epoch,
     cutoff: Time,
-    /// True while a shard of this host's own is at a peer whose table write
-    /// is still to come.
+    /// True while a shard of this host has been handed over and the row doesn't show the
+    /// new holder yet.
     passed: bool,
-    /// True once the right of one that acts for the holder has lapsed.
+    /// True once the right to a shard that this host acts for has expired.
     lapsed: bool,
 }
 
-/// A holder's lease, as far as this host acts for the holder.
+/// The lease of this host, or of a holder that it acts for.
 #[derive(Clone, Debug)]
 struct HolderLease {
+    /// The end of the lease in the table.
     table_until: Time,
+    /// The latest time to which promises may extend the lease.
     limit: Time,
+    /// The hosts that may take over from the holder.
     takers: BTreeSet<HostId>,
-    /// The holder's own promise, or that of its later runs; without end for
-    /// this host's own lease.
+    /// No later incarnation of the holder takes its shards over before this time;
+    /// `Time::MAX` for this host's own lease.
     heir_until: Time,
+    /// The time until which the lease gives rights, promises included.
     valid_until: Time,
+    /// True once the lease has expired.
     lapsed: bool,
 }
 
-/// A write of the row whose outcome isn't known.
+/// A write of the row whose outcome isn't known yet.
 #[derive(Clone, Debug)]
 struct Attempt {
     row: HallRow,
+    /// The version that the write replaces.
     base: u64,
+    /// The shards that the write claims, with their new epochs.
     claims: BTreeMap<u16, Epoch>,
+    /// The holders from which the write takes shards over.
     takes_from: BTreeSet<HostId>,
+    /// True if the table reported that the write may have taken place.
     unclear: bool,
 }
 
-/// What changed with a new row.
+/// The shards whose ownership changed with a new row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Shards that this host now holds.
     pub acquired: Vec<u16>,
-    /// Shards that another host now holds.
+    /// Shards that this host no longer holds.
     pub lost: Vec<u16>,
 }
 
-/// This host's part in its hall's ownership.
+/// This host's state of the ownership of its hall's shards.
 #[derive(Debug)]
 pub struct Ownership {
     me: HostId,
@@ -87,26 +96,32 @@
     safeguards: Safeguards,
     row: HallRow,
     version: u64,
+    /// True once the row was read or written.
     known: bool,
     attempt: Option<Attempt>,
     shards: Vec<LocalShard>,
     leases: BTreeMap<HostId, HolderLease>,
+    /// Promises received, by holder and by the host that promised.
     promises: BTreeMap<(HostId, HostId), Time>,
+    /// The end of this host's own promises, by holder.
     given: BTreeMap<HostId, Time>,
     runs: Runs,
+    /// Hosts that will never take a shard over.
     resigned: BTreeSet<HostId>,
-    /// What became of handovers, so that a copy gets the same reply.
+    /// The decisions on received handovers, by sender and serial, so that a copy gets the
+    /// same reply.
     offers: BTreeMap<(HostId, u64), Acceptance>,
+    /// The serial of the last handover sent.
     serial: u64,
-    /// No right that was handed over lasts longer, unless this host promises
-    /// it more time.
+    /// The latest end of any right that was handed over, unless this host extends it by
+    /// a promise.
     offered_until: Time,
     stopping: bool,
     started: Time,
 }
 
 impl Ownership {
-    /// Creates the view of a host that owns nothing and knows nothing.
+    /// Creates the state of a host that holds no shard and hasn't read the row.
     #[must_use]
     pub fn new(settings: &HostSettings, now: Time) -> Self {
         let shard = LocalShard {
@@ -141,19 +156,19 @@
         }
     }
 
-    /// Returns the row as last read.
+    /// Returns the row as last read or written.
     #[must_use]
     pub fn row(&self) -> &HallRow {
         &self.row
     }
 
-    /// Returns the row's version as last read; 0 before any.
+    /// Returns the version of that row; 0 if there is none yet.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns the shards that this host holds or acts for.
+    /// Returns the shards that this host holds or acts for, with their epochs.
     #[must_use]
     pub fn held(&self) -> Vec<(u16, Epoch)> {
         let held = |(_, s): &(usize, &LocalShard)| {
@@ -163,7 +178,7 @@
         shards.map(|(i, s)| (i as u16, s.epoch)).collect()
     }
 
-    /// Tells whether this host has any part in a shard's ownership.
+    /// Returns true if this host holds, acts for or is handing over any shard.
     #[must_use]
     pub fn has_any(&self) -> bool {
         self.shards.iter().any(|s| s.state != ShardState::Absent)
@@ -175,7 +190,7 @@
         self.shards[usize::from(shard)].state
     }
 
-    /// Describes this host's part in a shard, for logs and failed checks.
+    /// Describes the state of a shard, for logs and failed checks.
     #[must_use]
     pub fn describe(&self, shard: u16) -> String {
         let local = &self.shards[usize::from(shard)];
@@ -184,20 +199,20 @@
         format!("{local:?}; {lease:?}; row {} {row:?}", self.version)
     }
 
-    /// Notes that the host is stopping: it takes nothing over any more.
+    /// Records that the host is stopping; from now on it takes over no shards.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Tells whether this host will never again take anything over.
+    /// Returns true if this host will never take over a shard any more.
     #[must_use]
     pub fn resigned(&self) -> bool {
         let taking = |a: &Attempt| !a.takes_from.is_empty();
         self.stopping && !self.attempt.as_ref().is_some_and(taking)
     }
 
-    /// Forgets the leases of holders that this host acts for no more, and
-    /// their promises, so that nobody is asked to prolong them.
+    /// Removes the leases of holders that this host no longer acts for, with their
+    /// promises, so that no peer is asked to extend them.
     fn forget_unused_leases(&mut self) {
         let acts = |s: &&LocalShard| s.state != ShardState::Absent;
         let holders: BTreeSet<HostId> = self
@@ -217,21 +232,21 @@
     }
 }
 
-/// What becomes of a handover at its receiver.
+/// The receiver's decision on a handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
-    /// The shard is the receiver's.
+    /// The receiver now acts for the shard's holder.
     Accepted,
-    /// The shard has been accepted before.
+    /// The same handover has been accepted before.
     Repeated,
     /// The sender keeps the shard.
     Declined,
-    /// The receiver is another run of the host that was meant.
+    /// The receiver is another incarnation of the host that was addressed.
     NotAddressee,
 }
 
 impl Acceptance {
-    /// Returns what a copy of the same handover gets.
+    /// Returns the decision on a copy of the same handover.
     fn repeated(self) -> Self {
         match self {
             Self::Accepted => Self::Repeated,
--- a/crates/entry-core/src/ownership/promises.rs
+++ b/crates/entry-core/src/ownership/promises.rs
@@ -1,4 +1,6 @@
-//! Promises not to take over, asked for and given.
+//! Promises not to take over a holder's shards, requested and given.
+//!
+//! They extend a lease beyond its end in the table.
 
 use gannetridge_entry_wire::peer::PromiseRequest;
 use gannetridge_entry_wire::{HostId, Time};
@@ -7,7 +9,7 @@
 use super::{Attempt, HolderLease, Ownership};
 
 impl Ownership {
-    /// Returns the promises to ask every peer of the hall for.
+    /// Returns the promises to request from every peer of the hall.
     #[must_use]
     pub fn promises_wanted(&self, now: Time) -> Vec<PromiseRequest> {
         let until = now.plus_millis(self.tuning.lease_ms);
@@ -19,15 +21,15 @@
         holders.map(request).collect()
     }
 
-    /// Tells whether a right of this host lasts beyond a time only by
-    /// promises, or is one that it holds for another.
+    /// Returns true if a right of this host needs promises to last until `by`, or if it
+    /// acts for another holder.
     #[must_use]
     pub fn needs_promises(&self, by: Time) -> bool {
         let mut leases = self.leases.iter().filter(|(_, lease)| !lease.lapsed);
         leases.any(|(holder, lease)| *holder != self.me || lease.table_until < by)
     }
 
-    /// Gives those of the promises asked for that this host can keep.
+    /// Gives those of the requested promises that this host can keep, and returns them.
     pub fn promise(&mut self, wanted: &[PromiseRequest], now: Time) -> Vec<PromiseRequest> {
         let longest = now.plus_millis(self.tuning.lease_ms + self.tuning.skew_ms);
         let mut promised = Vec::new();
@@ -47,7 +49,7 @@
         promised
     }
 
-    /// Notes promises that a peer gave.
+    /// Records promises that a peer gave.
     pub fn promised(&mut self, peer: &HostId, promised: &[PromiseRequest], now: Time) {
         self.touch(now);
         for promise in promised {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Notes that a peer will never take anything over.
+    /// Records that a peer will never take over a shard any more.
     pub fn peer_resigned(&mut self, peer: &HostId, now: Time) {
         self.touch(now);
         if self.resigned.insert(peer.clone()) {
@@ -71,6 +73,7 @@
         }
     }
 
+    /// Recomputes until when each lease gives rights.
     pub(super) fn revalue_all(&mut self) {
         let holders: Vec<HostId> = self.leases.keys().cloned().collect();
         for holder in holders {
@@ -78,8 +81,8 @@
         }
     }
 
-    /// Notes that a host runs under `id` at `address`: its earlier runs have
-    /// ended, for two processes can't have the same address.
+    /// Records that a host runs as `id` at `address`, which proves that its earlier
+    /// incarnations there have ended.
     pub fn peer_runs(&mut self, id: &HostId, address: &Name, now: Time) {
         self.touch(now);
         if self.runs.heard(id, address) {
--- a/crates/entry-core/src/ownership/rights.rs
+++ b/crates/entry-core/src/ownership/rights.rs
@@ -1,8 +1,8 @@
-//! The right to start submissions of a shard, and until when it lasts.
+//! The right to start submissions of a shard, and its expiry.
 //!
 //! A holder's right lasts until the end of its lease in the table. While the table is
-//! out, the right goes on for as long as every host that could take over has promised
-//! not to. A right that has lapsed once comes back through the table only.
+//! unavailable, the right is extended for as long as every host that could take over
+//! has promised not to. A right that has expired can be regained only through the table.
 
 use gannetridge_entry_wire::{Epoch, HostId, Time};
 
@@ -12,18 +12,18 @@
 /// The right to start submissions of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Right {
-    /// The epoch in force.
+    /// The shard's current epoch.
     pub epoch: Epoch,
     /// The lowest epoch that may still start tasks.
     pub fence: Epoch,
-    /// Ids created up to this time may have been started by a lost owner.
+    /// Ids created up to this time may have been started by an owner that was lost.
     pub cutoff: Time,
-    /// When the right ends unless it is renewed.
+    /// The time at which the right expires unless it is renewed.
     pub until: Time,
 }
 
 impl Ownership {
-    /// Returns the right to start submissions of a shard, if it is in force.
+    /// Returns the right to accept submissions of a shard, if it is in force.
     #[must_use]
     pub fn right(&self, shard: u16, now: Time) -> Option<Right> {
         let local = &self.shards[usize::from(shard)];
@@ -33,16 +33,16 @@
         self.right_as_holder(shard, now)
     }
 
-    /// Returns the right that the holder's lease gives, whether or not the
-    /// shard is on its way to another host.
+    /// Returns the right that the holder's lease gives, even while the shard is being
+    /// handed over.
     pub(super) fn right_as_holder(&self, shard: u16, now: Time) -> Option<Right> {
         let local = &self.shards[usize::from(shard)];
         let lease = self.leases.get(&local.holder)?;
         let mut until = lease.valid_until;
         let mut lapsed = lease.lapsed || local.lapsed;
         if local.state == ShardState::Acting && self.is_claimed(shard) {
-            // The claim may have been written without this host's knowing:
-            // then its own lease counts, and its own takers.
+            // The claim may have been written without this host's knowledge. Then its own
+            // lease counts, and the promises of its own possible successors.
             let own = self.leases.get(&self.me)?;
             until = until.min(own.valid_until);
             lapsed |= own.lapsed;
@@ -58,45 +58,45 @@
         })
     }
 
-    /// Tells whether a write on its way claims a shard for this host.
+    /// Returns true if a write in progress claims a shard for this host.
     pub(super) fn is_claimed(&self, shard: u16) -> bool {
         let attempt = self.attempt.as_ref();
         attempt.is_some_and(|a| a.claims.contains_key(&shard))
     }
 
-    /// Returns the latest time at which a task of a job accepted earlier may
-    /// begin, or `None` if the right to the shard has lapsed. A shard that was
-    /// handed over in order leaves its jobs with this host.
+    /// Returns the latest time at which a task of a job accepted in `epoch` may start, or
+    /// `None` if the right to the shard has expired. The jobs of a shard that was handed
+    /// over gracefully stay with this host, without a limit.
     #[must_use]
     pub fn begin_limit(&self, shard: u16, epoch: Epoch, now: Time) -> Option<Time> {
         match self.state(shard) {
             ShardState::Held | ShardState::Acting | ShardState::HandingOver => {
                 let right = self.right_as_holder(shard, now);
-                // A shard that was taken over and came back since has left its
-                // older jobs behind.
+                // The shard was taken over and acquired again since: its older jobs must not
+                // start tasks any more.
                 right.filter(|r| epoch >= r.fence).map(|r| r.until)
             }
             ShardState::Absent => Some(Time::MAX),
         }
     }
 
-    /// Notes the time, and with it rights that have lapsed. To be called
-    /// before anything that could extend a right.
+    /// Marks the rights that have expired by `now`. Has to be called before any change
+    /// that could extend a right.
     pub fn touch(&mut self, now: Time) {
         for (holder, lease) in &mut self.leases {
             if lease.lapsed || now <= lease.valid_until {
                 continue;
             }
             lease.lapsed = true;
-            // A later handover renews the lease, but not the right to shards
-            // that the holder may have taken back in between.
+            // A later handover renews the lease, but not the right to shards that the
+            // holder may have reclaimed in between.
             for shard in &mut self.shards {
                 shard.lapsed |= shard.state == ShardState::Acting && shard.holder == *holder;
             }
         }
     }
 
-    /// Computes until when a holder's lease gives rights.
+    /// Recomputes until when a holder's lease gives rights.
     pub(super) fn revalue(&mut self, holder: &HostId) {
         let Some(lease) = self.leases.get_mut(holder) else {
             return;
--- a/crates/entry-core/src/ownership/table.rs
+++ b/crates/entry-core/src/ownership/table.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the hall's row: claims, takeovers, renewals.
+//! The hall's row in the platform's table: claims, takeovers and renewals.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +10,14 @@
 use crate::charts::{ShardEvent, ShardState, SHARD};
 
 impl Ownership {
-    /// Tells whether a write is on its way or its outcome is unclear.
+    /// Returns true while a write is in progress or its outcome is unknown.
     #[must_use]
     pub fn writing(&self) -> bool {
         self.attempt.is_some()
     }
 
-    /// Composes the row that this host wants, to be written over the version
-    /// last read. Returns `None` if the row isn't known or needs no change.
+    /// Composes the row that this host wants to write over the version last read. Returns
+    /// `None` if the row isn't known or needs no change.
     pub fn compose(&mut self, now: Time) -> Option<HallRow> {
         if !self.known {
             return None;
@@ -41,7 +41,7 @@
             takes_from,
             unclear: false,
         };
-        // An earlier write over the same version may still take place.
+        // An earlier write over the same version may still take effect.
         if let Some(earlier) = self.attempt.take() {
             attempt.claims.extend(earlier.claims);
             attempt.takes_from.extend(earlier.takes_from);
@@ -52,7 +52,7 @@
         Some(row)
     }
 
-    /// Notes the lease that a host without one has if its write takes place.
+    /// Adds the lease that a host without one has once its write takes effect.
     pub(super) fn expect_lease(&mut self, row: &HallRow) {
         let me = self.me.clone();
         let Some(mine) = row.member(&me).filter(|_| !self.leases.contains_key(&me)) else {
@@ -71,7 +71,7 @@
         self.revalue(&me);
     }
 
-    /// Composes one shard's row. Returns the host that it is taken from.
+    /// Composes one shard's part of the row. Returns the holder that it is taken over from.
     pub(super) fn compose_shard(
         &self,
         row: &mut HallRow,
@@ -108,29 +108,29 @@
         Some(holder)
     }
 
-    /// Tells whether a holder's shards may be taken over now, and up to which
-    /// creation time its submissions may have been started.
+    /// Returns the cutoff if a holder's shards may be taken over now: ids created up to
+    /// then may have been started by the holder.
     pub(super) fn can_take_from(&self, holder: &HostId, now: Time) -> Option<Time> {
         let theirs = self.row.member(holder)?;
         let given = self.given_to(holder);
         if self.is_earlier_self(theirs) {
-            // Whoever acts for the earlier run needs this one's promise, or
-            // that of the earlier one, which lasted a lease at most.
+            // A host that acts for the earlier incarnation needs a promise of this one or
+            // of the earlier one, which lasts for the duration of a lease at most.
             let end = given.max(self.started.plus_millis(self.tuning.lease_ms));
             return self.after_end(end, now);
         }
         let mine = self.row.member(&self.me)?;
         let mut end = theirs.until.max(given);
         if theirs.renewed < mine.joined {
-            // The holder may not know this host, and so not need its promise.
+            // The holder may not know this host and act without its promise.
             let limit = theirs.until.plus_millis(self.tuning.outage_limit_ms);
             end = end.max(limit);
         }
         self.after_end(end, now)
     }
 
-    /// Tells whether a shard that was passed on may be taken back: its new
-    /// holder has not written the table, and its right is over.
+    /// Returns the cutoff if a shard that was handed over may be reclaimed: the receiver
+    /// hasn't written the table, and its right has expired.
     pub(super) fn can_take_back(&self, local: &LocalShard, now: Time) -> Option<Time> {
         if !local.passed {
             return None;
@@ -139,6 +139,7 @@
         self.after_end(end, now)
     }
 
+    /// Returns the end of this host's promise not to take over from a holder.
     pub(super) fn given_to(&self, holder: &HostId) -> Time {
         match self.given.get(holder) {
             Some(until) if self.safeguards.keep_promises => *until,
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Returns the cutoff for rights that end at `end`, once that has passed
-    /// on every clock.
+    /// Returns the cutoff for rights that end at `end`, once that time has passed on every
+    /// clock.
     pub(super) fn after_end(&self, end: Time, now: Time) -> Option<Time> {
         let wait = if self.safeguards.await_lease {
             end.plus_millis(self.tuning.skew_ms)
@@ -157,18 +158,21 @@
         (now > wait).then(|| end.plus_millis(self.tuning.caller_skew_ms))
     }
 
-    /// Tells whether a member is an earlier run of this host. It has ended,
-    /// for two processes can't have the same address.
+    /// Returns true if a member is an earlier incarnation of this host. It has ended, since
+    /// two processes can't have the same address.
     pub(super) fn is_earlier_self(&self, member: &Member) -> bool {
         member.id.name == self.me.name
             && member.address == self.address
             && member.id.incarnation < self.me.incarnation
     }
 
+    /// Returns true if a member's incarnation is known to have ended.
     pub(super) fn is_ended(&self, member: &Member) -> bool {
         self.runs.has_ended_at(&member.id, &member.address)
     }
 
+    /// Renews this host's entry among the row's members, and removes members that have
+    /// ended.
     pub(super) fn compose_members(&self, row: &mut HallRow, now: Time) {
         let generation = row.generation;
         let owners: BTreeSet<HostId> = row.shards.iter().filter_map(|s| s.holder.clone()).collect();
@@ -186,9 +190,9 @@
         match row.members.iter_mut().find(|m| m.id == self.me) {
             Some(me) => {
                 me.until = until;
-                // Whoever acts for this host knows only the hosts that could
-                // take over when it got the shard. Hosts that joined since
-                // must not be let in before the table shows the move.
+                // A host that acts for this one knows only the hosts that could take over at
+                // the time of the handover. Hosts that joined since must not take over
+                // before the table shows the new holder.
                 if !self.has_unsettled() {
                     me.renewed = generation;
                 }
@@ -203,25 +207,25 @@
         }
     }
 
-    /// Tells whether a shard of this host's own is on its way to a peer, or
-    /// there without the table showing it.
+    /// Returns true if a shard of this host is being handed over, or was and the table
+    /// doesn't show the new holder yet.
     pub(super) fn has_unsettled(&self) -> bool {
         let moves = |s: &LocalShard| s.state == ShardState::HandingOver || s.passed;
         self.shards.iter().any(moves)
     }
 
-    /// Notes that the write took place.
+    /// Records that the write took place.
     ///
     /// # Panics
     ///
-    /// Panics if no write was on its way.
+    /// Panics if no write is in progress.
     pub fn committed(&mut self, now: Time) -> Changes {
         let attempt = self.attempt.as_ref().expect("a commit follows a write");
         let (row, version) = (attempt.row.clone(), attempt.base + 1);
         self.adopt(row, version, now)
     }
 
-    /// Notes that the table didn't confirm the write.
+    /// Records that the table didn't confirm the write.
     pub fn write_failed(&mut self, failure: TableFailure) {
         let Some(attempt) = &mut self.attempt else {
             return;
@@ -232,8 +236,8 @@
         }
     }
 
-    /// Takes over the row as the table has it at `version`. A row older than
-    /// the one known is left aside.
+    /// Applies the row that the table has at `version`. A row older than the known one is
+    /// ignored.
     pub fn adopt(&mut self, row: HallRow, version: u64, now: Time) -> Changes {
         if self.known && version < self.version {
             return Changes::default();
@@ -244,8 +248,8 @@
         for member in &self.row.members {
             self.runs.reached_at(&member.id, &member.address);
         }
-        // A write over an older version than the table's can't take place any
-        // more, unless it is the one that made it.
+        // A write over an older version than the table's can't take effect any more,
+        // unless it is the one that produced this version.
         let attempt = self.attempt.take_if(|a| version > a.base);
         let claims = attempt.map(|a| a.claims).unwrap_or_default();
         self.adopt_lease(now);
@@ -254,6 +258,7 @@
         changes
     }
 
+    /// Updates this host's own lease from the row.
     pub(super) fn adopt_lease(&mut self, now: Time) {
         let me = self.me.clone();
         let Some(mine) = self.row.member(&me) else {
@@ -276,6 +281,7 @@
         self.revalue(&me);
     }
 
+    /// Updates the shards from the row. `claims` are those of this host's own write.
     pub(super) fn adopt_shards(&mut self, claims: &BTreeMap<u16, Epoch>) -> Changes {
         let mut changes = Changes::default();
         for i in 0..self.shards.len() {
--- a/crates/entry-core/src/queue.rs
+++ b/crates/entry-core/src/queue.rs
@@ -1,4 +1,7 @@
-//! Jobs that wait for slots, and whose turn it is.
+//! The queue of jobs that wait for slots, and the order in which they get them.
+//!
+//! Slots are shared between accounts by quota; an account may exceed its quota only
+//! while enough slots stay free for the others.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,39 +11,33 @@
 
 use crate::keys::{AccountIndex, JobKey};
 
-/// Part of a host's slots that an account just over its quota leaves free.
-/// Twice as steep a neighbour's p99 was 1.6 to 1.9 times its ideal instead of 1.5
-/// (simulator, seeds 1 and 2).
+/// Fraction of a host's slots that an account at its quota leaves free.
 const LEAST_RESERVE: f64 = 0.1;
-/// Part that it leaves free in addition for each time its quota beyond.
-/// Twice as steep a neighbour's p99 was 1.6 to 1.9 times its ideal instead of 1.5
-/// (simulator, seeds 1 and 2).
+/// Additional fraction left free per multiple of the quota in use beyond the first.
 const RESERVE_SLOPE: f64 = 0.25;
-/// Most that an account over its quota leaves free.
-/// Twice as steep a neighbour's p99 was 1.6 to 1.9 times its ideal instead of 1.5
-/// (simulator, seeds 1 and 2).
+/// Largest fraction of a host's slots that an account leaves free.
 const MOST_RESERVE: f64 = 0.6;
 
-/// What an account may use, in slots.
+/// An account's quota and its use at other hosts, in slots.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Its quota in all.
+    /// The quota across all hosts.
     pub total: f64,
-    /// What it uses through other hosts, as last heard.
+    /// Slots in use through other hosts, as last reported.
     pub elsewhere: f64,
-    /// What it may use through this host in any case.
+    /// The minimum that the account may use through this host.
     pub least: f64,
 }
 
 impl Quota {
-    /// Returns what it may use through this host.
+    /// Returns the number of slots that the account may use through this host.
     #[must_use]
     pub fn here(&self) -> f64 {
         self.least.max(self.total - self.elsewhere)
     }
 
-    /// Returns the part of a host's slots that the account leaves free once
-    /// it uses `in_use` slots here: the more, the further it is beyond.
+    /// Returns the fraction of a host's slots that the account leaves free while it
+    /// uses `in_use` slots here; it grows with the excess over the quota.
     #[must_use]
     pub fn reserve(&self, in_use: u32) -> f64 {
         let excess = (f64::from(in_use) + self.elsewhere) / self.total.max(1.0) - 1.0;
@@ -48,12 +45,12 @@
     }
 }
 
-/// The free slots that tasks could take.
+/// The slots available to waiting tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreeSlots {
-    /// Those free now.
+    /// Slots that are free, borrowed ones included.
     pub free: u32,
-    /// All of this host's.
+    /// All slots of this host's share.
     pub capacity: u32,
 }
 
@@ -77,13 +74,13 @@
         f64::from(self.in_use) / self.quota.here()
     }
 
-    /// Tells whether a task may take one of the free slots.
+    /// Returns true if a task of the account may use one of the free slots.
     fn may_take(&self, slots: FreeSlots) -> bool {
         let reserve = self.quota.reserve(self.in_use) * f64::from(slots.capacity);
         !self.over_quota() || f64::from(slots.free) > reserve
     }
 
-    /// Returns how many of the waiting tasks the quota has room for.
+    /// Returns the number of waiting tasks that fit within the quota.
     fn entitled(&self) -> u32 {
         let room = (self.quota.here() - f64::from(self.in_use)).ceil();
         self.waiting.min(room.max(0.0) as u32)
@@ -91,9 +88,8 @@
 }
 
 /// Waiting jobs by account. Accounts within their quota go before those over
-/// it, the urgent before the rest, and those that use the least of their quota
-/// before those that use more. Within an account the nearest deadline goes
-/// first.
+/// it, then by urgency, then by the lowest use relative to the quota. Within an
+/// account the earliest due time goes first.
 #[derive(Debug, Default)]
 pub struct Queue {
     accounts: Vec<AccountQueue>,
@@ -103,7 +99,7 @@
 }
 
 impl Queue {
-    /// Notes an account and its quota.
+    /// Adds an account, or updates its urgency and quota.
     pub fn account(&mut self, name: &Name, urgency: Urgency, quota: Quota) -> AccountIndex {
         if let Some(index) = self.by_name.get(name) {
             let account = &mut self.accounts[index.0];
@@ -125,7 +121,7 @@
         index
     }
 
-    /// Tells whether an account uses its whole quota.
+    /// Returns true if an account uses its whole quota or more.
     #[must_use]
     pub fn over_quota(&self, account: AccountIndex) -> bool {
         self.accounts[account.0].over_quota()
@@ -137,14 +133,14 @@
         self.tasks
     }
 
-    /// Returns the number of waiting tasks that quotas have room for.
+    /// Returns the number of waiting tasks that fit within their accounts' quotas.
     #[must_use]
     pub fn entitled(&self) -> u32 {
         let waiting = self.waiting.iter();
         waiting.map(|i| self.accounts[i.0].entitled()).sum()
     }
 
-    /// Returns when the first job of those whose turn it is is due.
+    /// Returns the due time of the next job.
     #[must_use]
     pub fn first_due(&self) -> Option<Time> {
         let account = self.first_account(&[])?;
@@ -152,8 +148,8 @@
         Some(*due)
     }
 
-    /// Returns the work that goes before a new job of an account, in ms of
-    /// one slot: that of its own, and of accounts whose turn comes before.
+    /// Returns the work queued ahead of a new job of an account, in ms of one slot: that
+    /// of its own account and of accounts that don't rank behind it.
     #[must_use]
     pub fn work_ahead_ms(&self, account: AccountIndex) -> u64 {
         let own = &self.accounts[account.0];
@@ -165,13 +161,13 @@
         ahead.map(|index| self.accounts[index.0].work_ms).sum()
     }
 
-    /// Iterates over the accounts that were ever seen.
+    /// Iterates over all accounts that were ever added.
     pub fn accounts(&self) -> impl Iterator<Item = (AccountIndex, &Name)> {
         let all = self.accounts.iter().enumerate();
         all.map(|(i, account)| (AccountIndex(i), &account.name))
     }
 
-    /// Returns the slots that each account uses, without idle accounts.
+    /// Returns the number of slots in use by each account that uses any.
     #[must_use]
     pub fn usage(&self) -> Vec<(Name, u32)> {
         let busy = self.accounts.iter().filter(|a| a.in_use > 0);
@@ -183,13 +179,13 @@
         self.accounts[account.0].quota = quota;
     }
 
-    /// Notes that a job has tasks waiting.
+    /// Adds a job that has tasks waiting.
     pub fn add_job(&mut self, account: AccountIndex, due: Time, job: JobKey) {
         self.accounts[account.0].jobs.insert((due, job));
         self.waiting.insert(account);
     }
 
-    /// Notes that a job has no tasks waiting.
+    /// Removes a job that has no more tasks waiting.
     pub fn remove_job(&mut self, account: AccountIndex, due: Time, job: JobKey) {
         let queue = &mut self.accounts[account.0];
         queue.jobs.remove(&(due, job));
@@ -198,7 +194,7 @@
         }
     }
 
-    /// Counts a task that begins to wait.
+    /// Counts a task that starts to wait.
     pub fn task_waits(&mut self, account: AccountIndex, expected_ms: u32) {
         let queue = &mut self.accounts[account.0];
         queue.work_ms += u64::from(expected_ms);
@@ -206,7 +202,7 @@
         self.tasks += 1;
     }
 
-    /// Counts a task that waits no longer.
+    /// Uncounts a task that no longer waits.
     pub fn task_leaves(&mut self, account: AccountIndex, expected_ms: u32) {
         let queue = &mut self.accounts[account.0];
         queue.work_ms -= u64::from(expected_ms);
@@ -214,18 +210,18 @@
         self.tasks -= 1;
     }
 
-    /// Counts a slot that an account begins to use.
+    /// Counts a slot that an account takes into use.
     pub fn slot_taken(&mut self, account: AccountIndex) {
         self.accounts[account.0].in_use += 1;
     }
 
-    /// Counts a slot that an account uses no longer.
+    /// Uncounts a slot that an account no longer uses.
     pub fn slot_freed(&mut self, account: AccountIndex) {
         self.accounts[account.0].in_use -= 1;
     }
 
-    /// Returns the job whose turn it is, but for accounts in `passed`.
-    /// Accounts over their quota get a turn only if enough slots are free.
+    /// Returns the next job to start a task of, skipping the accounts in `passed`. An
+    /// account over its quota is eligible only if enough slots are free.
     #[must_use]
     pub fn next(
         &self,
--- a/crates/entry-core/src/retry.rs
+++ b/crates/entry-core/src/retry.rs
@@ -1,18 +1,18 @@
-//! When to try again, and when to leave it.
+//! The retry budget, and the delays between retries.
 
 use gannetridge_entry_wire::Time;
 use rand::Rng;
 use rand_pcg::Pcg32;
 
-/// Part of a retry that each first try pays for. Chosen, not measured.
+/// Fraction of a retry that each first try adds to the budget.
 const EARNED: f64 = 0.1;
-/// Retries that may be saved up. Chosen, not measured.
+/// Largest number of retries that the budget can hold.
 const MOST_SAVED: f64 = 200.0;
-/// Retries allowed each second whatever the load. Chosen, not measured.
+/// Retries added to the budget each second, independent of the load.
 const PER_SECOND: f64 = 10.0;
 
-/// Bounds retries to a part of first tries, so that an outage or a burst
-/// doesn't multiply messages.
+/// Limits retries to a fraction of first tries, so that an outage or a burst doesn't
+/// multiply messages.
 #[derive(Debug)]
 pub struct RetryBudget {
     saved: f64,
@@ -20,7 +20,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a full budget.
+    /// Creates a budget at its maximum.
     #[must_use]
     pub fn new(now: Time) -> Self {
         Self {
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Notes a first try.
+    /// Records a first try.
     pub fn earn(&mut self) {
         self.saved = (self.saved + EARNED).min(MOST_SAVED);
     }
 
-    /// Pays for a retry, if the budget allows it.
+    /// Takes one retry from the budget. Returns false if the budget is exhausted.
     pub fn spend(&mut self, now: Time) -> bool {
         let seconds = now.micros_since(self.updated) as f64 / 1e6;
         self.updated = now.max(self.updated);
@@ -47,16 +47,16 @@
     }
 }
 
-/// Returns the wait before try number `tries`, doubling from `first_ms` up to
-/// `last_ms`, with half of it random.
+/// Returns the wait before try number `tries`, in ms: it doubles from `first_ms` up to
+/// `last_ms`, and half of it is random.
 pub fn backoff_ms(rng: &mut Pcg32, tries: u32, first_ms: u64, last_ms: u64) -> u64 {
     let doubled = first_ms.saturating_mul(1 << tries.min(16));
     let wait = doubled.min(last_ms);
     wait / 2 + rng.random_range(0..=wait / 2)
 }
 
-/// Returns a time spread evenly from `ms` to twice `ms`, so that callers who
-/// are told to come back don't all come at once.
+/// Returns a random time from `ms` to twice `ms`, so that callers don't all retry at
+/// the same time.
 pub fn spread_ms(rng: &mut Pcg32, ms: u64) -> u64 {
     ms + rng.random_range(0..=ms)
 }
--- a/crates/entry-core/src/seen.rs
+++ b/crates/entry-core/src/seen.rs
@@ -1,17 +1,17 @@
-//! Requests of peers that were taken lately, to tell copies from them.
+//! Detection of duplicate requests of peers.
 
 use std::collections::{HashSet, VecDeque};
 
 use gannetridge_entry_wire::{HostId, Time};
 
-/// How long a request is remembered, in ms. No copy travels for longer.
-/// Chosen, not measured.
+/// How long a request is remembered, in ms; assumed to be longer than any copy of it
+/// can be delayed.
 const MEMORY_MS: u64 = 10_000;
 
-/// Names a request: its sender and the sender's number of it.
+/// Identifies a request: its sender and the sender's serial of it.
 pub type RequestKey = (HostId, u64);
 
-/// Requests that were taken lately.
+/// The requests received within the last `MEMORY_MS`.
 #[derive(Debug, Default)]
 pub struct SeenRequests {
     keys: HashSet<RequestKey>,
@@ -19,7 +19,7 @@
 }
 
 impl SeenRequests {
-    /// Notes a request, and tells whether it is the first of its kind.
+    /// Records a request. Returns true if it wasn't recorded before.
     pub fn is_new(&mut self, key: RequestKey, now: Time) -> bool {
         self.forget(now.minus_millis(MEMORY_MS));
         let new = self.keys.insert(key.clone());
--- a/crates/entry-core/src/settings.rs
+++ b/crates/entry-core/src/settings.rs
@@ -1,69 +1,69 @@
-//! What a host is told when it starts.
+//! The settings of a host.
 
 use gannetridge_entry_wire::HostId;
 use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 
-/// How targets are chosen for tasks.
+/// The strategy that selects targets for tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Placement {
-    /// Each target's slots are divided among the hall's hosts, which lend
-    /// each other what they don't need.
+    /// Each target's slots are divided among the hall's hosts, which lend each other
+    /// unused ones.
     #[default]
     SharesLending,
     /// Each target's slots are divided among the hall's hosts.
     Shares,
-    /// The better of two random targets, by local count and lagged usage.
+    /// The less loaded of two random targets, by the host's own count and the listed usage.
     PowerOfTwo,
-    /// The target with the fewest own tasks.
+    /// The target with the fewest tasks of this host.
     LeastInFlight,
-    /// One target after the other.
+    /// The targets in turn.
     RoundRobin,
-    /// Any target.
+    /// A random target.
     Random,
 }
 
-/// Times and limits of a host. All times are in milliseconds.
+/// Timing and limits of a host. All times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Tuning {
-    /// Length of a lease on the hall's shards.
+    /// Duration of the lease on the hall's shards.
     pub lease_ms: u64,
     /// Time between renewals of the lease.
     pub renew_ms: u64,
     /// Time between heartbeats to the hall's other hosts.
     pub heartbeat_ms: u64,
-    /// Most that any two clocks of hosts, targets and the platform differ.
+    /// Largest difference between any two clocks of hosts, targets and the platform.
     pub skew_ms: u64,
-    /// Most that a caller's clock is ahead.
+    /// Largest amount by which a caller's clock is ahead.
     pub caller_skew_ms: u64,
-    /// Longest that a holder may go without the table.
+    /// Longest time for which a holder may act without access to the table.
     pub outage_limit_ms: u64,
     /// Time between reads of the configuration's version.
     pub config_poll_ms: u64,
     /// Time between reads of the platform's list of targets.
     pub list_poll_ms: u64,
-    /// Most that the platform's list lags.
+    /// Largest lag of the platform's list.
     pub list_lag_ms: u64,
-    /// Age up to which an id that the ledger doesn't know may be started.
+    /// Age up to which an id that isn't in the ledger may be started.
     pub accept_window_ms: u64,
-    /// How long the ledger remembers an id after its creation.
+    /// Time after its creation for which the ledger keeps an id.
     pub retention_ms: u64,
-    /// Least time after which callers send a request again.
+    /// Shortest time after which callers resend a request.
     pub min_resend_ms: u64,
-    /// Latest begin of a task after its start was sent.
+    /// Longest time from the sending of a start to the start of the task.
     pub begin_window_ms: u64,
-    /// A task's lease as a multiple of its expected time.
+    /// A task's lease as a multiple of its expected run time.
     pub lease_factor: u64,
-    /// Longest time for which slots are lent.
+    /// Duration of a loan of slots.
     pub loan_ms: u64,
-    /// Waiting tasks for each question to a peer that isn't known to have
-    /// free slots. Fewer make answers come sooner, more save messages.
+    /// Number of waiting tasks per borrow request to a peer that isn't known to have free
+    /// slots. A lower number shortens waits, a higher one saves messages.
     pub tasks_per_question: u32,
-    /// Most tasks that wait for a slot at a time.
+    /// Largest number of tasks that wait for a slot at a time.
     pub queue_limit: usize,
-    /// How targets are chosen.
+    /// The strategy that selects targets for tasks.
     pub placement: Placement,
 }
 
@@ -92,33 +92,33 @@
     }
 }
 
-/// Mechanisms that a test may switch off in its own copy of a host, to show
-/// that its checks would find them missing. No settings file reaches them.
+/// Safety mechanisms. Tests disable single ones to show that their checks detect it;
+/// they aren't part of any settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
-    /// A host starts nothing once its right to the shard has lapsed.
+    /// A host starts nothing under an expired right to a shard.
     pub lapse_check: bool,
-    /// A new owner starts no id that its predecessor may have started.
+    /// A new owner starts no submission that its predecessor may have started.
     pub takeover_cutoff: bool,
-    /// Starts carry a latest time to begin that ends with the right.
+    /// A start is valid no longer than the right to its shard.
     pub begin_limit: bool,
-    /// A peer keeps its promises not to take over.
+    /// A host keeps its promises not to take over.
     pub keep_promises: bool,
-    /// A host waits for a lease's end and the skew before it takes over.
+    /// A host waits for the end of a lease plus the clock skew before it takes over.
     pub await_lease: bool,
-    /// Only a newer configuration comes into force.
+    /// Only a newer configuration is applied.
     pub version_check: bool,
-    /// A start whose connection broke after it was written is asked after.
+    /// The target is queried about a start that got no reply after it was written.
     pub ask_when_lost: bool,
-    /// A known id gets its entry's answer.
+    /// A submission that the ledger knows is answered from its entry.
     pub ledger: bool,
-    /// A handover is accepted once, by the incarnation it is meant for.
+    /// A handover is accepted once, by the incarnation that it is addressed to.
     pub handover_once: bool,
-    /// A refusal says `not run` only where no earlier sending can exist.
+    /// A refusal as not run is sent only if no earlier sending can exist.
     pub first_sending_check: bool,
-    /// A job is complete once all its tasks are.
+    /// A job completes only when all its tasks have.
     pub whole_answers: bool,
-    /// Targets that are said to be leaving get no new work.
+    /// Targets that are reported as leaving get no new tasks.
     pub heed_leaving: bool,
 }
 
@@ -141,21 +141,21 @@
     }
 }
 
-/// What a host is told when it starts.
+/// The settings of a host, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct HostSettings {
-    /// The host and its run.
+    /// The host's name and incarnation.
     pub id: HostId,
-    /// Its hall.
+    /// The hall that the host is in.
     pub hall: Name,
-    /// Where peers reach it, `ip:port`.
+    /// The address at which peers reach the host, `ip:port`.
     pub address: Name,
-    /// Addresses of other entry hosts, to ask while the table is out.
+    /// Addresses of other entry hosts, for contact without the table.
     pub peers: Vec<Name>,
-    /// Seed of all random numbers.
+    /// Seed of the host's random number generator.
     pub seed: u64,
-    /// Times and limits.
+    /// Timing and limits.
     pub tuning: Tuning,
-    /// Mechanisms; all on but in tests.
+    /// Safety mechanisms; all are on outside of tests.
     pub safeguards: Safeguards,
 }
--- a/crates/entry-core/src/targets/choice.rs
+++ b/crates/entry-core/src/targets/choice.rs
@@ -1,8 +1,8 @@
-//! Chooses a target of this host's share for a task.
+//! Selection of a target from this host's share of slots.
 //!
-//! With `shares`, `shares-lending` and `least-in-flight`, the first of the free
-//! targets in their order (`Target::rank`): slow ones last, then those with the most
-//! free slots first. The other placements are there to compare with.
+//! With `shares`, `shares-lending` and `least-in-flight`, selects the first free target
+//! by `Target::rank`: slow ones last, then the one with the largest free part of its
+//! share. The other placements serve as a baseline for comparison.
 
 use gannetridge_wire::Name;
 use rand::Rng;
@@ -11,14 +11,13 @@
 use super::{Target, TargetIndex, Targets};
 use crate::settings::Placement;
 
-/// Targets that are drawn at random before all are tried in turn; chosen, not
-/// measured.
+/// Random draws before all targets are searched in order.
 const SAMPLE_TRIES: usize = 16;
 
 impl Targets {
-    /// Chooses a target of this host's share for one task.
+    /// Selects a target with a free slot of this host's share, or `None` if there is none.
     ///
-    /// `allowed` tells whether the task may run in a hall.
+    /// `allowed` returns true for the halls in which the task may run.
     pub fn choose(
         &mut self,
         rng: &mut Pcg32,
--- a/crates/entry-core/src/targets/division.rs
+++ b/crates/entry-core/src/targets/division.rs
@@ -1,7 +1,7 @@
-//! Divides the targets' slots among the hall's hosts.
+//! Division of the targets' slots among the hall's hosts.
 //!
-//! The division follows from the list of hosts alone, so no message is needed for
-//! it, and no two hosts that agree on the list fill the same slot.
+//! The shares follow from the list of hosts alone, so hosts that agree on the list use
+//! disjoint slots without exchanging messages.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -9,7 +9,7 @@
 use crate::settings::Placement;
 
 impl Targets {
-    /// Divides every target's slots among the hall's hosts.
+    /// Recomputes this host's share of every target.
     pub(super) fn divide(&mut self) {
         for i in 0..self.all.len() {
             let share = self.share_of(&self.all[i]);
@@ -28,7 +28,8 @@
         };
         let hosts = self.members.len() as u64;
         let slots = u64::from(target.slots);
-        // The remainder goes round, so that no host is always the poorer.
+        // The first host to get one of the remaining slots depends on the target's name,
+        // so that the remainders are spread over all hosts.
         let first = xxh3_64(target.name.as_bytes()) % hosts;
         let turn = (place as u64 + hosts - first) % hosts;
         let extra = u64::from(turn < slots % hosts);
