--- a/crates/entry-core/src/targets/mod.rs
+++ b/crates/entry-core/src/targets/mod.rs
@@ -1,7 +1,7 @@
-//! The targets of all halls: whose slots are free, and which are trusted.
+//! The targets of all halls with their slots and health.
 //!
-//! Each slot of a target belongs to one of its hall's hosts at a time: `division`.
-//! Which target a task gets: `choice`.
+//! `division` computes this host's share of each target's slots, `choice` selects the
+//! target of a task. The list of targets comes from the platform.
 
 mod choice;
 mod division;
@@ -19,11 +19,11 @@
 
 pub use target::Target;
 
-/// A target's position in the list of targets.
+/// A target's index in [`Targets`]; it stays valid, since targets are never removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetIndex(pub u32);
 
-/// What the order of free targets holds of one target.
+/// The values of a target that the index and the totals currently contain.
 #[derive(Clone, Copy, Debug, Default)]
 struct Indexed {
     rank: u64,
@@ -31,7 +31,8 @@
     capacity: u32,
 }
 
-/// All targets that this host knows.
+/// All targets that this host knows, indexed by name and, while they have free slots,
+/// by rank.
 #[derive(Debug)]
 pub struct Targets {
     hall: Name,
@@ -68,61 +69,61 @@
         }
     }
 
-    /// Returns a target.
+    /// Returns the target at an index.
     #[must_use]
     pub fn get(&self, index: TargetIndex) -> &Target {
         &self.all[index.0 as usize]
     }
 
-    /// Returns the index of a target by name.
+    /// Returns the index of the target of this name.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<TargetIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Returns the number of targets known.
+    /// Returns the number of known targets, including ones no longer listed.
     #[must_use]
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Tells whether no target is known.
+    /// Returns true if no target is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Iterates over all targets.
+    /// Iterates over all known targets, including ones no longer listed.
     pub fn iter(&self) -> impl Iterator<Item = &Target> {
         self.all.iter()
     }
 
-    /// Returns this host's free slots, without borrowed ones.
+    /// Returns the number of free slots of this host's share; borrowed ones don't count.
     #[must_use]
     pub fn own_free(&self) -> u32 {
         self.own_free
     }
 
-    /// Returns the slots of this host's share on usable targets.
+    /// Returns the number of slots of this host's share on usable targets.
     #[must_use]
     pub fn own_capacity(&self) -> u32 {
         self.own_capacity
     }
 
-    /// Returns the names of targets known to be leaving.
+    /// Returns the names of listed targets known to be leaving.
     #[must_use]
     pub fn leaving(&self) -> Vec<Name> {
         let leaving = self.all.iter().filter(|t| t.listed && t.health.leaving());
         leaving.map(|t| t.name.clone()).collect()
     }
 
-    /// Tells whether any listed target is known to be leaving.
+    /// Returns true if any listed target is known to be leaving.
     #[must_use]
     pub fn any_leaving(&self) -> bool {
         self.all.iter().any(|t| t.listed && t.health.leaving())
     }
 
-    /// Changes a target and keeps the order of free targets right.
+    /// Changes a target, and updates the index and the totals accordingly.
     pub fn update<R>(&mut self, index: TargetIndex, change: impl FnOnce(&mut Target) -> R) -> R {
         let i = index.0 as usize;
         let result = change(&mut self.all[i]);
@@ -147,7 +148,7 @@
         result
     }
 
-    /// Takes over the platform's list as read at `now`.
+    /// Applies the platform's whole list as read at `now`; it may lag by `lag_ms`.
     pub fn listed(&mut self, list: &HostList, now: Time, lag_ms: u64) {
         let mut gone: BTreeSet<Name> = self.by_name.keys().cloned().collect();
         for entry in &list.targets {
@@ -198,7 +199,7 @@
         index
     }
 
-    /// Takes over the names of the hall's hosts, this one included.
+    /// Sets the names of the hall's live hosts, this one included.
     pub fn set_members(&mut self, mut members: Vec<Name>) {
         members.sort();
         members.dedup();
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Takes over which halls are being emptied.
+    /// Sets the halls that are being drained.
     pub fn set_draining(&mut self, draining: BTreeSet<Name>) {
         self.draining = draining;
         for i in 0..self.all.len() {
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Lets targets that have been left alone long enough be probed.
+    /// Starts to probe the targets whose ejection has ended.
     pub fn revive(&mut self, now: Time) {
         for i in 0..self.all.len() {
             if !self.all[i].health.usable() {
--- a/crates/entry-core/src/targets/target.rs
+++ b/crates/entry-core/src/targets/target.rs
@@ -1,48 +1,48 @@
-//! One target, as this host knows it.
+//! The local state of one target.
 
 use gannetridge_wire::Name;
 
 use crate::health::Health;
 
-/// A runner on a worker.
+/// A target's static data, slot counts and health.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its name.
+    /// Unique among all targets.
     pub name: Name,
-    /// Its address, `ip:port`.
+    /// Where the target is reached, `ip:port`.
     pub address: Name,
-    /// Its hall.
+    /// The hall that the target is in.
     pub hall: Name,
-    /// Tasks that it runs at once.
+    /// Number of tasks that the target runs at a time.
     pub slots: u32,
-    /// Slots that this host may fill.
+    /// Slots that this host may use.
     pub share: u32,
-    /// Slots of the share in use by this host's tasks.
+    /// Slots of the share in use by this host's own tasks.
     pub in_use: u32,
-    /// Slots of the share lent to peers.
+    /// Slots of the share that are lent to peers.
     pub lent: u32,
-    /// Slots left alone for a moment, since the target was full.
+    /// Slots temporarily unused, since the target refused a task as full.
     pub blocked: u32,
-    /// Tasks of others that the platform last reported.
+    /// Tasks of other hosts, by the platform's last list.
     pub others: u32,
-    /// How far the target is trusted.
+    /// Limits the tasks that the target gets after failures.
     pub health: Health,
-    /// True while the hall is being emptied.
+    /// True while the target's hall is being drained.
     pub draining: bool,
     /// True while the platform's list names the target.
     pub listed: bool,
-    /// Orders targets that are otherwise alike, differently on each host.
+    /// Orders targets of equal rank differently on each host, to spread their load.
     pub(super) tie_break: u16,
 }
 
 impl Target {
-    /// Tells whether the target may get new work at all.
+    /// Returns true if the target may get new tasks.
     #[must_use]
     pub fn usable(&self) -> bool {
         self.listed && !self.draining && self.health.usable()
     }
 
-    /// Returns how many more tasks this host may start on its own share.
+    /// Returns how many more tasks this host may start within its own share.
     #[must_use]
     pub fn free(&self) -> u32 {
         if !self.usable() {
@@ -52,8 +52,8 @@
         limit.saturating_sub(self.in_use + self.lent + self.blocked)
     }
 
-    /// Returns the rank among targets with free slots: slow ones last, then
-    /// those with the most free slots first.
+    /// Returns the sort key among targets with free slots: by slowness, then by the
+    /// largest free part of the share, then by `tie_break`.
     pub(super) fn rank(&self) -> u64 {
         let slowness = u64::from(self.health.slowness());
         let used = 1_000 - u64::from(self.free() * 1_000 / self.share.max(1));
--- a/crates/entry-core/tests/charts.rs
+++ b/crates/entry-core/tests/charts.rs
@@ -1,4 +1,4 @@
-//! The state charts agree with the code, and wrong ones are refused.
+//! The state charts match the declared states and events, and invalid charts are refused.
 
 use gannetridge_entry_core::charts::{
     ShardEvent, ShardState, TaskEvent, TaskState, CHANGE, SHARD, TARGET, TASK,
