--- a/crates/entry-core/src/charts.rs
+++ b/crates/entry-core/src/charts.rs
@@ -162,7 +162,7 @@
         /// The chart read from the file of the same name.
         pub static $name: LazyLock<Chart<$state, $event>> = LazyLock::new(|| {
             Chart::parse(include_str!(concat!("../charts/", $file)))
-                .expect("the charts are part of the program and tested")
+                .expect("embedded charts are valid")
         });
     };
 }
--- a/crates/entry-core/src/directory.rs
+++ b/crates/entry-core/src/directory.rs
@@ -10,7 +10,7 @@
 
 /// A shard's holder as reported by a heartbeat.
 #[derive(Clone, Debug)]
-struct Holder {
+struct ReportedHolder {
     epoch: Epoch,
     address: Name,
 }
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     rows: BTreeMap<Name, HallRow>,
-    heard: HashMap<ShardId, Holder>,
+    reported: HashMap<ShardId, ReportedHolder>,
 }
 
 impl Directory {
@@ -38,27 +38,31 @@
                 hall: hall.clone(),
                 index: index as u16,
             };
-            if self.heard.get(&id).is_some_and(|h| h.epoch < shard.epoch) {
-                self.heard.remove(&id);
+            if self
+                .reported
+                .get(&id)
+                .is_some_and(|h| h.epoch < shard.epoch)
+            {
+                self.reported.remove(&id);
             }
         }
         self.rows.insert(hall.clone(), row);
     }
 
     /// Records the shards that a peer reports to hold.
-    pub fn heard(&mut self, status: &Status) {
+    pub fn record_status(&mut self, status: &Status) {
         for (index, epoch) in &status.shards {
             let id = ShardId {
                 hall: status.hall.clone(),
                 index: *index,
             };
-            let newer = self.heard.get(&id).is_none_or(|h| h.epoch <= *epoch);
+            let newer = self.reported.get(&id).is_none_or(|h| h.epoch <= *epoch);
             if newer && *epoch >= self.epoch_in_row(&id) {
-                let holder = Holder {
+                let holder = ReportedHolder {
                     epoch: *epoch,
                     address: status.address.clone(),
                 };
-                self.heard.insert(id, holder);
+                self.reported.insert(id, holder);
             }
         }
     }
@@ -70,9 +74,13 @@
     }
 
     /// Removes the report that a shard is held at an address that doesn't respond.
-    pub fn forget(&mut self, shard: &ShardId, address: &Name) {
-        if self.heard.get(shard).is_some_and(|h| h.address == *address) {
-            self.heard.remove(shard);
+    pub fn remove_report(&mut self, shard: &ShardId, address: &Name) {
+        if self
+            .reported
+            .get(shard)
+            .is_some_and(|h| h.address == *address)
+        {
+            self.reported.remove(shard);
         }
     }
 
@@ -86,7 +94,7 @@
                 addresses.push(address.clone());
             }
         };
-        if let Some(holder) = self.heard.get(shard) {
+        if let Some(holder) = self.reported.get(shard) {
             add(&holder.address);
         }
         let Some(row) = self.rows.get(&shard.hall) else {
--- a/crates/entry-core/src/host/borrow.rs
+++ b/crates/entry-core/src/host/borrow.rs
@@ -7,7 +7,7 @@
 use gannetridge_wire::Name;
 use rand::Rng;
 
-use super::calls::Call;
+use super::calls::CallPurpose;
 use super::timers::Timer;
 use super::Host;
 use crate::action::Waste;
@@ -16,59 +16,59 @@
 use crate::settings::Placement;
 
 /// Shortest wait before a peer that had nothing to lend is asked again, in ms.
-const FIRST_PAUSE_MS: u64 = 100;
+const FIRST_BACKOFF_MS: u64 = 100;
 /// Longest wait before a peer that had nothing to lend is asked again, in ms.
-const LAST_PAUSE_MS: u64 = 1_600;
+const MAX_BACKOFF_MS: u64 = 1_600;
 /// Delay after which returned slots are reported to their lender, in ms.
-const RETURN_MS: u64 = 5;
+const RETURN_DELAY_MS: u64 = 5;
 /// Longest time for which a borrow request may wait at a peer, in ms.
-const QUESTION_MS: u64 = 1000;
+const REQUEST_WAIT_MS: u64 = 1000;
 /// Timeout of the reply beyond the time that the request may wait, in ms.
-const REPLY_MS: u64 = 500;
+const REPLY_TIMEOUT_MS: u64 = 500;
 /// Largest number of waiting jobs whose halls are considered.
-const MOST_LOOKED_AT: usize = 8;
+const MAX_JOBS_CONSIDERED: usize = 8;
 /// Largest number of slots per borrow request.
-const MOST_SLOTS: u32 = 256;
+const MAX_SLOTS_PER_REQUEST: u32 = 256;
 
 /// A peer's known state as a lender of slots.
 #[derive(Clone, Debug)]
-pub(super) struct Lender {
+pub(super) struct LenderState {
     /// The slots that the peer last reported as available.
     pub(super) spare: Spare,
     /// The number of slots expected from the borrow request in progress, if there is one.
-    asked: Option<u32>,
+    expected_slots: Option<u32>,
     /// No request goes to the peer before this time unless it reports free slots.
     not_before: Time,
     /// The next wait after a request that brought nothing.
-    pause_ms: u64,
+    backoff_ms: u64,
 }
 
-impl Default for Lender {
+impl Default for LenderState {
     fn default() -> Self {
         Self {
             spare: Spare::default(),
-            asked: None,
+            expected_slots: None,
             not_before: Time::ZERO,
-            pause_ms: FIRST_PAUSE_MS,
+            backoff_ms: FIRST_BACKOFF_MS,
         }
     }
 }
 
-impl Lender {
+impl LenderState {
     /// Records the slots that the peer reports as available.
-    pub(super) fn learn(&mut self, spare: Spare) {
+    pub(super) fn update(&mut self, spare: Spare) {
         self.spare = spare;
     }
 
     /// Records that the peer couldn't be reached.
-    pub(super) fn silent(&mut self) {
+    pub(super) fn mark_unreachable(&mut self) {
         self.spare = Spare::default();
     }
 
     /// Records that a request brought nothing, and doubles the wait before the next.
-    fn lent_nothing(&mut self, now: Time) {
-        self.not_before = now.plus_millis(self.pause_ms);
-        self.pause_ms = (self.pause_ms * 2).min(LAST_PAUSE_MS);
+    fn back_off(&mut self, now: Time) {
+        self.not_before = now.plus_millis(self.backoff_ms);
+        self.backoff_ms = (self.backoff_ms * 2).min(MAX_BACKOFF_MS);
     }
 }
 
@@ -84,41 +84,45 @@
 
     /// Returns an equal part of the usable slots of some halls per known host. Used by a
     /// host that has no share of its own.
-    pub(super) fn fair_part_of(&self, halls: &[Name]) -> u32 {
+    pub(super) fn equal_part_of(&self, halls: &[Name]) -> u32 {
         let usable = self
             .targets
             .iter()
-            .filter(|t| t.usable() && halls.contains(&t.hall));
+            .filter(|t| t.is_usable() && halls.contains(&t.hall));
         let slots: u32 = usable.map(|t| t.slots).sum();
         slots / (self.peers.len() as u32 + 1)
     }
 
     /// Requests slots from peers for the waiting tasks.
-    pub(super) fn borrow_more(&mut self) {
+    pub(super) fn request_slots(&mut self) {
         if self.settings.tuning.placement != Placement::SharesLending {
             return;
         }
-        let entitled = self.queue.entitled();
+        let within_quota = self.queue.waiting_within_quota();
         // Tasks over their quota may borrow only when no others wait.
-        let over_quota = entitled == 0;
+        let over_quota = within_quota == 0;
         let wanted = if over_quota {
-            self.queue.tasks() as u32
+            self.queue.waiting_tasks() as u32
         } else {
-            entitled
+            within_quota
         };
-        let expected: u32 = self.peers.values().filter_map(|p| p.lender.asked).sum();
+        let expected: u32 = self
+            .peers
+            .values()
+            .filter_map(|p| p.lender.expected_slots)
+            .sum();
         let mut missing = wanted.saturating_sub(expected);
         if missing == 0 {
             return;
         }
-        let halls = self.halls_wanted();
+        let halls = self.halls_of_waiting_jobs();
         let mut known = Vec::new();
-        let mut blind = Vec::new();
+        let mut unknown = Vec::new();
         for (address, peer) in &self.peers {
-            if peer.lender.asked.is_some() || !halls.contains(&peer.hall) {
+            if peer.lender.expected_slots.is_some() || !halls.contains(&peer.hall) {
                 continue;
             }
-            let far = peer.hall != self.settings.hall;
+            let remote = peer.hall != self.settings.hall;
             let spare = peer.lender.spare;
             let free = if over_quota {
                 spare.surplus
@@ -126,59 +130,64 @@
                 spare.free
             };
             if free > 0 {
-                known.push((far, u32::MAX - free, address.clone()));
+                known.push((remote, u32::MAX - free, address.clone()));
             } else if !over_quota && !spare.waits && self.now >= peer.lender.not_before {
                 // Random order, so that hosts don't all ask the same peer.
                 let any: u32 = self.rng.random();
-                blind.push((spare.waits, far, any, address.clone()));
+                unknown.push((spare.waits, remote, any, address.clone()));
             }
         }
         known.sort();
-        for (_, less, address) in known {
+        for (_, inverted_free, address) in known {
             if missing == 0 {
                 return;
             }
-            let free = u32::MAX - less;
-            self.ask_for_slots(address, free.min(missing), free.min(missing), over_quota);
+            let free = u32::MAX - inverted_free;
+            self.send_borrow_request(address, free.min(missing), free.min(missing), over_quota);
             missing = missing.saturating_sub(free);
         }
-        blind.sort_unstable();
-        let per_question = self.settings.tuning.tasks_per_question.max(1);
-        let questions = missing / per_question;
-        for (.., address) in blind.into_iter().take(questions as usize) {
-            self.ask_for_slots(address, missing, per_question, false);
+        unknown.sort_unstable();
+        let tasks_per_request = self.settings.tuning.tasks_per_question.max(1);
+        let request_count = missing / tasks_per_request;
+        for (.., address) in unknown.into_iter().take(request_count as usize) {
+            self.send_borrow_request(address, missing, tasks_per_request, false);
         }
     }
 
     /// Sends a borrow request to a peer, which is expected to bring `expected` slots.
-    fn ask_for_slots(&mut self, address: Name, count: u32, expected: u32, over_quota: bool) {
-        let due = self.queue.first_due().unwrap_or(self.now);
+    fn send_borrow_request(&mut self, address: Name, count: u32, expected: u32, over_quota: bool) {
+        let due = self.queue.next_due().unwrap_or(self.now);
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.lender.asked = Some(expected);
+            peer.lender.expected_slots = Some(expected);
         }
         let request = PeerRequest::Borrow {
             from: self.settings.address.clone(),
-            count: count.min(MOST_SLOTS),
+            count: count.min(MAX_SLOTS_PER_REQUEST),
             over_quota,
             due,
-            wait_ms: if over_quota { 0 } else { QUESTION_MS },
+            wait_ms: if over_quota { 0 } else { REQUEST_WAIT_MS },
         };
-        let purpose = Call::Borrow {
+        let purpose = CallPurpose::Borrow {
             address: address.clone(),
         };
-        self.call_peer(purpose, address, request, QUESTION_MS + REPLY_MS);
+        self.call_peer(
+            purpose,
+            address,
+            request,
+            REQUEST_WAIT_MS + REPLY_TIMEOUT_MS,
+        );
     }
 
     /// Returns the halls that jobs with waiting tasks may use.
-    fn halls_wanted(&self) -> BTreeSet<Name> {
+    fn halls_of_waiting_jobs(&self) -> BTreeSet<Name> {
         let waiting = self.jobs.values().filter(|job| !job.waiting.is_empty());
         let halls = waiting
-            .take(MOST_LOOKED_AT)
+            .take(MAX_JOBS_CONSIDERED)
             .flat_map(|job| job.account.halls.iter());
         halls.cloned().collect()
     }
 
-    pub(super) fn on_lent(&mut self, address: Name, reply: Result<PeerReply, SendFailure>) {
+    pub(super) fn on_borrow_reply(&mut self, address: Name, reply: Result<PeerReply, SendFailure>) {
         let now = self.now;
         let lent = match reply {
             Ok(PeerReply::Lent {
@@ -190,31 +199,31 @@
             _ => None,
         };
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.lender.asked = None;
+            peer.lender.expected_slots = None;
             match &lent {
-                Some((.., spare)) => peer.lender.learn(*spare),
-                None => peer.lender.silent(),
+                Some((.., spare)) => peer.lender.update(*spare),
+                None => peer.lender.mark_unreachable(),
             }
         }
         let lent = lent.filter(|(_, grants, ..)| !grants.is_empty());
         let Some((loan, grants, until, _)) = lent else {
             if let Some(peer) = self.peers.get_mut(&address) {
-                peer.lender.lent_nothing(now);
+                peer.lender.back_off(now);
             }
-            return self.waste(Waste::BorrowedInVain);
+            return self.note_wasted(Waste::BorrowedInVain);
         };
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.lender.pause_ms = FIRST_PAUSE_MS;
+            peer.lender.backoff_ms = FIRST_BACKOFF_MS;
         }
         let key = LoanKey {
             lender: address,
             loan,
         };
-        self.take_loan(key, &grants, until);
+        self.add_loan(key, &grants, until);
     }
 
     /// Adds a loan.
-    fn take_loan(&mut self, key: LoanKey, grants: &[Grant], until: Time) {
+    fn add_loan(&mut self, key: LoanKey, grants: &[Grant], until: Time) {
         // Slots of an unknown target can't be used. They return to the lender when the loan
         // is overdue.
         let known = grants
@@ -227,26 +236,31 @@
     /// Plans a report of returned slots, if one is needed.
     pub(super) fn schedule_returns(&mut self) {
         if self.borrowed.needs_flush() {
-            self.after(RETURN_MS, Timer::FlushReturns);
+            self.set_timer_in(RETURN_DELAY_MS, Timer::FlushReturns);
         }
     }
 
     /// Reports returned slots to their lenders.
     pub(super) fn flush_returns(&mut self) {
-        for back in self.borrowed.flush() {
-            if back.unused {
-                self.waste(Waste::LentInVain);
+        for report in self.borrowed.take_returns() {
+            if report.unused {
+                self.note_wasted(Waste::LentInVain);
             }
             let grant = |(target, count): &(_, u32)| Grant {
                 target: self.targets.get(*target).name.clone(),
                 count: *count,
             };
-            let returned = back.returned.iter().map(grant).collect();
+            let returned = report.returned.iter().map(grant).collect();
             let request = PeerRequest::Return {
-                loan: back.key.loan,
+                loan: report.key.loan,
                 returned,
             };
-            self.call_peer(Call::Return, back.key.lender, request, REPLY_MS);
+            self.call_peer(
+                CallPurpose::Return,
+                report.key.lender,
+                request,
+                REPLY_TIMEOUT_MS,
+            );
         }
     }
 }
--- a/crates/entry-core/src/host/calls.rs
+++ b/crates/entry-core/src/host/calls.rs
@@ -14,7 +14,7 @@
 
 /// The purpose of a call to a peer or to the table.
 #[derive(Clone, Debug)]
-pub(super) enum Call {
+pub(super) enum CallPurpose {
     Forward(u64),
     Heartbeat { address: Name },
     Borrow { address: Name },
@@ -34,28 +34,28 @@
 /// The calls that have no reply yet.
 #[derive(Debug, Default)]
 pub(super) struct Calls {
-    pub(super) open: HashMap<CallId, Call>,
+    pub(super) pending: HashMap<CallId, CallPurpose>,
     /// The id of the last call.
-    last: u64,
+    last_id: u64,
 }
 
 impl Host {
     /// Returns the id for a new call.
     pub(super) fn new_call(&mut self) -> CallId {
-        self.calls.last += 1;
-        CallId(self.calls.last)
+        self.calls.last_id += 1;
+        CallId(self.calls.last_id)
     }
 
     pub(super) fn call_peer(
         &mut self,
-        purpose: Call,
+        purpose: CallPurpose,
         address: Name,
         request: PeerRequest,
         wait_ms: u64,
     ) {
         let call = self.new_call();
-        self.calls.open.insert(call, purpose);
-        self.out.push(Action::Call {
+        self.calls.pending.insert(call, purpose);
+        self.actions.push(Action::Call {
             call,
             address,
             request,
@@ -63,22 +63,22 @@
         });
     }
 
-    pub(super) fn call_table(&mut self, purpose: Call, op: TableOp) {
+    pub(super) fn call_table(&mut self, purpose: CallPurpose, op: TableOp) {
         let call = self.new_call();
-        self.calls.open.insert(call, purpose);
-        self.out.push(Action::Table { call, op });
+        self.calls.pending.insert(call, purpose);
+        self.actions.push(Action::Table { call, op });
     }
 
     pub(super) fn reply(&mut self, token: Token, reply: PeerReply) {
-        self.out.push(Action::Reply { token, reply });
+        self.actions.push(Action::Reply { token, reply });
     }
 
     /// Sends an answer to the caller, or to the peer that forwarded the submission.
     /// Sends an answer to the caller, or to the peer that forwarded the submission.
     pub(super) fn answer(&mut self, waiter: Waiter, answer: Answer) {
         match waiter {
-            Waiter::Caller(token) => self.out.push(Action::Answer { token, answer }),
-            Waiter::Peer(token) | Waiter::PeerAgain(token) => {
+            Waiter::Caller(token) => self.actions.push(Action::Answer { token, answer }),
+            Waiter::Peer(token) | Waiter::PeerRetry(token) => {
                 let spare = self.spare();
                 self.reply(token, PeerReply::Answer { answer, spare });
             }
@@ -86,10 +86,10 @@
     }
 
     pub(super) fn note(&mut self, note: Note) {
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
     }
 
-    pub(super) fn waste(&mut self, waste: Waste) {
+    pub(super) fn note_wasted(&mut self, waste: Waste) {
         self.note(Note::Wasted(waste));
     }
 }
--- a/crates/entry-core/src/host/configure.rs
+++ b/crates/entry-core/src/host/config_changes.rs
@@ -12,7 +12,7 @@
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 
-use super::calls::Call;
+use super::calls::CallPurpose;
 use super::config_rows::{read_rows, row_key, ConfigRows, Head};
 use super::timers::Timer;
 use super::Host;
@@ -23,11 +23,11 @@
 use crate::retry::backoff_ms;
 
 /// How long a change is retried, in ms.
-const CHANGE_TIME_MS: u64 = 6_000;
+const CHANGE_TIMEOUT_MS: u64 = 6_000;
 /// Base of the backoff between attempts, in ms.
-const FIRST_TRY_MS: u64 = 50;
+const BACKOFF_BASE_MS: u64 = 50;
 /// Longest backoff between attempts, in ms.
-const LAST_TRY_MS: u64 = 800;
+const MAX_BACKOFF_MS: u64 = 800;
 /// Number of change ids kept in a document, to recognise retries.
 const REMEMBERED_CHANGES: usize = 16;
 
@@ -45,10 +45,10 @@
 
 /// The operators' changes in progress.
 #[derive(Debug, Default)]
-pub(super) struct Changes {
-    pub(super) open: BTreeMap<u64, Change>,
+pub(super) struct PendingChanges {
+    pub(super) pending: BTreeMap<u64, Change>,
     /// The key of the last change.
-    pub(super) last: u64,
+    pub(super) last_key: u64,
 }
 
 impl Host {
@@ -57,41 +57,41 @@
         if let Err(faults) = Document::read(request.key.kind, &file, &request.text) {
             return self.answer_change(token, ChangeAnswer::Faulty(faults));
         }
-        self.changes.last += 1;
+        self.changes.last_key += 1;
         let change = Change {
             token,
             request,
             state: CHANGE.initial(),
             written: ConfigSnapshot::default(),
-            give_up: self.now.plus_millis(CHANGE_TIME_MS),
+            give_up: self.now.plus_millis(CHANGE_TIMEOUT_MS),
             tries: 0,
         };
-        self.changes.open.insert(self.changes.last, change);
-        self.read_for_change(self.changes.last);
+        self.changes.pending.insert(self.changes.last_key, change);
+        self.read_for_change(self.changes.last_key);
     }
 
     fn answer_change(&mut self, token: Token, answer: ChangeAnswer) {
-        self.out.push(Action::ChangeAnswer { token, answer });
+        self.actions.push(Action::ChangeAnswer { token, answer });
     }
 
     /// Reads the rows that a change is based on.
     pub(super) fn read_for_change(&mut self, key: u64) {
-        if self.changes.open.contains_key(&key) {
+        if self.changes.pending.contains_key(&key) {
             let prefix = CONFIG_PREFIX.into();
-            self.call_table(Call::ChangeRead(key), TableOp::Scan { prefix });
+            self.call_table(CallPurpose::ChangeRead(key), TableOp::Scan { prefix });
         }
     }
 
     pub(super) fn on_change_read(&mut self, key: u64, reply: Result<TableResult, TableFailure>) {
         let Ok(TableResult::Rows { rows }) = reply else {
             // A read has no effect, even if its outcome is unknown.
-            return self.try_change_again(key, ChangeEvent::NotDone);
+            return self.retry_change(key, ChangeEvent::NotDone);
         };
         let Some(read) = read_rows(&rows) else {
-            return self.try_change_again(key, ChangeEvent::NotDone);
+            return self.retry_change(key, ChangeEvent::NotDone);
         };
-        self.put_in_force(read.snapshot.clone());
-        let Some(change) = self.changes.open.get(&key) else {
+        self.apply_config(read.snapshot.clone());
+        let Some(change) = self.changes.pending.get(&key) else {
             return;
         };
         let request = change.request.clone();
@@ -112,10 +112,10 @@
         if let Err(faults) = self.check_references(&request) {
             // Only references to other documents can be invalid here: the document itself
             // was validated on receipt.
-            if self.changes.open[&key].state == ChangeState::Unclear {
-                return self.try_change_again(key, ChangeEvent::Unclear);
+            if self.changes.pending[&key].state == ChangeState::Unclear {
+                return self.retry_change(key, ChangeEvent::Unclear);
             }
-            let change = self.changes.open.remove(&key).expect("just seen");
+            let change = self.changes.pending.remove(&key).expect("looked up above");
             return self.answer_change(change.token, ChangeAnswer::Faulty(faults));
         }
         self.write_change(key, &request, &read, theirs);
@@ -145,7 +145,7 @@
             text: request.text.clone(),
             changes,
         };
-        if let Some(change) = self.changes.open.get_mut(&key) {
+        if let Some(change) = self.changes.pending.get_mut(&key) {
             change.written = read.snapshot.with(doc.clone());
         }
         let doc_row = read.doc_rows.iter().find(|(n, _)| *n == name);
@@ -155,8 +155,9 @@
             value: value.into(),
         };
         let doc_key = row_key(&request.key);
-        let head = serde_json::to_string(&Head { version }).expect("plain data has a JSON form");
-        let text = serde_json::to_string(&doc).expect("plain data has a JSON form");
+        let head =
+            serde_json::to_string(&Head { version }).expect("serialising plain data can't fail");
+        let text = serde_json::to_string(&doc).expect("serialising plain data can't fail");
         let op = TableOp::Commit {
             checks: vec![
                 check(CONFIG_HEAD.into(), read.head_row),
@@ -164,20 +165,20 @@
             ],
             writes: vec![write(CONFIG_HEAD.into(), head), write(doc_key, text)],
         };
-        self.call_table(Call::ChangeWrite(key), op);
+        self.call_table(CallPurpose::ChangeWrite(key), op);
     }
 
     pub(super) fn on_change_written(&mut self, key: u64, reply: Result<TableResult, TableFailure>) {
         match reply {
             Ok(TableResult::Committed) => {
-                let Some(change) = self.changes.open.get_mut(&key) else {
+                let Some(change) = self.changes.pending.get_mut(&key) else {
                     return;
                 };
                 // The write was conditional on the head that was read, so this is now the
                 // table's content.
                 let written = std::mem::take(&mut change.written);
                 let version = written.version;
-                self.put_in_force(written);
+                self.apply_config(written);
                 let answer = ChangeAnswer::Accepted { version };
                 self.end_change(key, ChangeEvent::Committed, answer);
             }
@@ -186,14 +187,14 @@
             Ok(TableResult::Conflict { .. } | TableResult::Rows { .. }) => {
                 self.read_for_change(key);
             }
-            Err(TableFailure::NotDone) => self.try_change_again(key, ChangeEvent::NotDone),
-            Err(TableFailure::Unclear) => self.try_change_again(key, ChangeEvent::Unclear),
+            Err(TableFailure::NotDone) => self.retry_change(key, ChangeEvent::NotDone),
+            Err(TableFailure::Unclear) => self.retry_change(key, ChangeEvent::Unclear),
         }
     }
 
     /// Ends a change whose id is found in the document's row.
     fn change_found(&mut self, key: u64, version: u64) {
-        let state = self.changes.open[&key].state;
+        let state = self.changes.pending[&key].state;
         let event = if state == ChangeState::Unclear {
             ChangeEvent::Found
         } else {
@@ -203,7 +204,7 @@
     }
 
     fn end_change(&mut self, key: u64, event: ChangeEvent, answer: ChangeAnswer) {
-        let Some(mut change) = self.changes.open.remove(&key) else {
+        let Some(mut change) = self.changes.pending.remove(&key) else {
             return;
         };
         CHANGE.advance(&mut change.state, event);
@@ -211,28 +212,28 @@
         assert_eq!(
             accepted,
             change.state == ChangeState::Accepted,
-            "only what is durable is accepted"
+            "a change is accepted only once it is durable"
         );
         if let ChangeAnswer::Accepted { version } = &answer {
             assert!(
                 self.config.version() >= *version,
-                "an operator who was told of a change finds it at the same host"
+                "an accepted change is in force at the host that reports it"
             );
         }
         self.answer_change(change.token, answer);
     }
 
     /// Schedules another attempt, or ends the change if its time has run out.
-    fn try_change_again(&mut self, key: u64, event: ChangeEvent) {
-        let Some(change) = self.changes.open.get_mut(&key) else {
+    fn retry_change(&mut self, key: u64, event: ChangeEvent) {
+        let Some(change) = self.changes.pending.get_mut(&key) else {
             return;
         };
         CHANGE.advance(&mut change.state, event);
         change.tries += 1;
         let tries = change.tries;
         if self.now < change.give_up {
-            let wait_ms = backoff_ms(&mut self.rng, tries, FIRST_TRY_MS, LAST_TRY_MS);
-            return self.after(wait_ms, Timer::Change(key));
+            let wait_ms = backoff_ms(&mut self.rng, tries, BACKOFF_BASE_MS, MAX_BACKOFF_MS);
+            return self.set_timer_in(wait_ms, Timer::Change(key));
         }
         let answer = if change.state == ChangeState::Unclear {
             ChangeAnswer::Unresolved
--- a/crates/entry-core/src/host/ends.rs
+++ b/crates/entry-core/src/host/ends.rs
@@ -5,7 +5,7 @@
 use gannetridge_entry_wire::answer::Refusal;
 use gannetridge_entry_wire::{Answer, FailureCause, Ran};
 
-use super::run::LAST_ASK_MS;
+use super::run::QUERY_MAX_BACKOFF_MS;
 use super::timers::Timer;
 use super::Host;
 use crate::action::Note;
@@ -18,7 +18,7 @@
 impl Host {
     /// Ends a job whose tasks are all done.
     pub(super) fn complete_job(&mut self, key: JobKey) {
-        let mut job = self.jobs.remove(&key).expect("the caller found it");
+        let mut job = self.jobs.remove(&key).expect("the caller looked it up");
         let results = job.take_results();
         self.end_job(key, &job, Answer::Complete { results });
     }
@@ -32,18 +32,18 @@
         while let Some(index) = job.waiting.pop_front() {
             job.advance(index, TaskEvent::Dropped);
             let expected_ms = job.tasks[index as usize].expected_ms;
-            self.queue.task_leaves(job.queue, expected_ms);
+            self.queue.remove_task(job.queue, expected_ms);
         }
         self.queue.remove_job(job.queue, job.due, key);
         let answer = if may_have_run {
-            let ran = if job.ran { Ran::Ran } else { Ran::Unknown };
+            let ran = if job.has_run { Ran::Ran } else { Ran::Unknown };
             Answer::Failed { cause, ran }
         } else {
             let reason = match cause {
                 FailureCause::DeadlinePassed => Refusal::NoCapacity,
                 _ => Refusal::NoOwner,
             };
-            let retry_after_ms = spread_ms(&mut self.rng, LAST_ASK_MS);
+            let retry_after_ms = spread_ms(&mut self.rng, QUERY_MAX_BACKOFF_MS);
             Answer::Refused {
                 reason,
                 retry_after_ms,
@@ -62,7 +62,7 @@
         let waiters = std::mem::take(&mut entry.waiters);
         assert!(
             matches!(entry.state, EntryState::Running(running) if running == key),
-            "an entry changes once, when its own job ends"
+            "an entry's state changes once, when its own job ends"
         );
         if answer.is_final() {
             entry.state = EntryState::Ended(Arc::new(answer.clone()));
@@ -81,7 +81,7 @@
         for waiter in waiters {
             self.answer(waiter, answer.clone());
         }
-        self.tell_heir(job, &answer);
+        self.report_job_end(job, &answer);
     }
 
     pub(super) fn on_job_deadline(&mut self, key: JobKey) {
@@ -89,7 +89,7 @@
     }
 
     /// Fails the jobs that still have queued tasks in a shard that this host lost.
-    pub(super) fn fail_jobs_of(&mut self, shard: u16) {
+    pub(super) fn fail_jobs_of_lost_shard(&mut self, shard: u16) {
         let of_shard = |(_, job): &(&JobKey, &Job)| job.authority.shard == shard;
         let keys: Vec<JobKey> = self.jobs.iter().filter(of_shard).map(|(k, _)| *k).collect();
         for key in keys {
--- a/crates/entry-core/src/host/handover.rs
+++ b/crates/entry-core/src/host/handover.rs
@@ -7,14 +7,14 @@
 use gannetridge_entry_wire::{HostId, Submission, Time};
 use gannetridge_wire::Name;
 
-use super::calls::Call;
+use super::calls::CallPurpose;
 use super::timers::Timer;
 use super::updates::PendingUpdate;
 use super::Host;
 use crate::action::Note;
 use crate::event::{SendFailure, Token};
 use crate::ledger::Waiter;
-use crate::ownership::Acceptance;
+use crate::ownership::HandoverDecision;
 
 /// Timeout of the reply to a handover, in ms.
 const HANDOVER_WAIT_MS: u64 = 1_000;
@@ -22,13 +22,13 @@
 pub(super) const HANDOVER_RETRY_MS: u64 = 100;
 /// Wait before the row is read after a handover, in ms; gives the new holder time to
 /// write it.
-const SETTLE_MS: u64 = 50;
+const ROW_READ_DELAY_MS: u64 = 50;
 /// Wait after a declined handover, in ms.
 const DECLINED_PAUSE_MS: u64 = 500;
 
 /// A submission that waits for the end of its shard's handover.
 #[derive(Debug)]
-struct Parked {
+struct DeferredSubmission {
     shard: u16,
     waiter: Waiter,
     submission: Submission,
@@ -37,32 +37,32 @@
 /// The handover in progress and the state that past ones left.
 #[derive(Debug, Default)]
 pub(super) struct Handovers {
-    current: Option<Current>,
-    parked: Vec<Parked>,
+    current: Option<PendingHandover>,
+    deferred: Vec<DeferredSubmission>,
     /// The addresses to which shards were handed over.
-    pub(super) heirs: BTreeMap<u16, Name>,
+    pub(super) new_holders: BTreeMap<u16, Name>,
     /// Records that new holders haven't confirmed yet, by shard.
     pub(super) updates: BTreeMap<u16, PendingUpdate>,
     /// The row's version at the last handover; rebalancing waits for a newer one.
-    balanced_at: u64,
+    last_handover_version: u64,
 }
 
 /// The handover in progress.
 #[derive(Debug)]
-struct Current {
+struct PendingHandover {
     address: Name,
     handover: Box<Handover>,
     /// True once a sending has an unknown outcome: the peer may have accepted.
-    sent: bool,
+    maybe_accepted: bool,
     /// True while a reply is pending. Two sendings at a time could result in one that
     /// fails and one that is accepted.
-    awaited: bool,
+    reply_pending: bool,
 }
 
 impl Handovers {
     /// Defers a submission until its shard's handover has ended.
-    pub(super) fn park(&mut self, shard: u16, waiter: Waiter, submission: Submission) {
-        self.parked.push(Parked {
+    pub(super) fn defer(&mut self, shard: u16, waiter: Waiter, submission: Submission) {
+        self.deferred.push(DeferredSubmission {
             shard,
             waiter,
             submission,
@@ -71,14 +71,14 @@
 
     /// Returns true if no handover, submission or record is pending.
     pub(super) fn is_idle(&self) -> bool {
-        self.current.is_none() && self.parked.is_empty() && self.updates.is_empty()
+        self.current.is_none() && self.deferred.is_empty() && self.updates.is_empty()
     }
 }
 
 impl Host {
     /// Returns true if a peer could get a shard of this host, or gets one now.
     pub(super) fn can_hand_over(&self) -> bool {
-        self.handovers.current.is_some() || self.ownership.surplus(self.now).is_some()
+        self.handovers.current.is_some() || self.ownership.next_handover(self.now).is_some()
     }
 
     /// Returns true if this shard is being handed over.
@@ -88,45 +88,46 @@
     }
 
     /// Starts the next handover, if a shard should move and none is in progress.
-    pub(super) fn offer_next(&mut self) {
+    pub(super) fn start_next_handover(&mut self) {
         if self.handovers.current.is_some() {
             return;
         }
         // Balance is computed from the row, so it must show the last handover.
         let version = self.ownership.version();
-        if !self.stop.asked && self.handovers.balanced_at == version {
+        if !self.stop.requested && self.handovers.last_handover_version == version {
             return;
         }
-        let surplus = self.ownership.surplus(self.now);
-        let heir = self.heir_in_outage();
-        let (shard, to, address) = match (surplus, heir) {
+        let by_row = self.ownership.next_handover(self.now);
+        let successor = self.successor_from_heartbeats();
+        let (shard, to, address) = match (by_row, successor) {
             (Some((shard, member)), _) => (shard, member.id, member.address),
-            (None, Some(heir)) => heir,
+            (None, Some(successor)) => successor,
             (None, None) => return,
         };
-        self.handovers.balanced_at = version;
+        self.handovers.last_handover_version = version;
         let records = self.ledger.records_of(shard);
-        let handover = Box::new(self.ownership.offer(shard, to, records, self.now));
-        self.handovers.current = Some(Current {
+        let handover = Box::new(self.ownership.start_handover(shard, to, records, self.now));
+        self.handovers.current = Some(PendingHandover {
             address,
             handover,
-            sent: false,
-            awaited: false,
+            maybe_accepted: false,
+            reply_pending: false,
         });
         self.send_handover();
     }
 
     /// Returns a peer for a stopping host's shards from recent heartbeats. Used when the
     /// row, which may be outdated, names no live host.
-    fn heir_in_outage(&self) -> Option<(u16, HostId, Name)> {
-        if !self.stop.asked {
+    fn successor_from_heartbeats(&self) -> Option<(u16, HostId, Name)> {
+        if !self.stop.requested {
             return None;
         }
-        let shard = self.ownership.first_to_give()?;
+        let shard = self.ownership.first_transferable_shard()?;
         let hall = &self.settings.hall;
-        let mut near = self.peers.iter().filter(|(_, p)| p.hall == *hall);
+        let mut hall_peers = self.peers.iter().filter(|(_, p)| p.hall == *hall);
         let lately = self.now.minus_millis(2 * self.settings.tuning.heartbeat_ms);
-        let (address, peer) = near.find(|(_, p)| p.heard >= lately && p.id.is_some())?;
+        let (address, peer) =
+            hall_peers.find(|(_, p)| p.last_status >= lately && p.id.is_some())?;
         Some((shard, peer.id.clone()?, address.clone()))
     }
 
@@ -135,7 +136,7 @@
         if self.handovers.current.is_some() {
             self.send_handover();
         } else {
-            self.offer_next();
+            self.start_next_handover();
         }
     }
 
@@ -143,14 +144,14 @@
         let Some(current) = &mut self.handovers.current else {
             return;
         };
-        if std::mem::replace(&mut current.awaited, true) {
+        if std::mem::replace(&mut current.reply_pending, true) {
             return;
         }
         let serial = current.handover.serial;
         let request = PeerRequest::Handover(current.handover.clone());
         let address = current.address.clone();
         self.call_peer(
-            Call::Handover { serial },
+            CallPurpose::Handover { serial },
             address,
             request,
             HANDOVER_WAIT_MS,
@@ -164,67 +165,67 @@
         if current.handover.serial != serial {
             return;
         }
-        current.awaited = false;
+        current.reply_pending = false;
         match reply {
             Ok(PeerReply::Done) => self.end_handover(true),
             // The peer gives the same reply to every copy of this serial.
             Ok(PeerReply::Declined) => self.end_handover(false),
-            Err(SendFailure::NotSent) if !current.sent => self.end_handover(false),
+            Err(SendFailure::NotSent) if !current.maybe_accepted => self.end_handover(false),
             // The addressed incarnation may have accepted before it ended, so the shard can't
             // be kept. It is taken over when this host's lease ends.
             Ok(PeerReply::NotAddressee) => self.end_handover(true),
             _ => {
-                current.sent = true;
+                current.maybe_accepted = true;
                 self.retry_handover();
             }
         }
     }
 
     fn retry_handover(&mut self) {
-        let lost = self.handovers.current.as_ref().is_some_and(|c| {
+        let expired = self.handovers.current.as_ref().is_some_and(|c| {
             // Any right that the peer got has expired by then.
             self.now > c.handover.table_until.max(c.handover.heir_until)
         });
-        if lost {
+        if expired {
             self.end_handover(true);
         } else {
-            self.after(HANDOVER_RETRY_MS, Timer::Handover);
+            self.set_timer_in(HANDOVER_RETRY_MS, Timer::Handover);
         }
     }
 
-    fn end_handover(&mut self, passed: bool) {
+    fn end_handover(&mut self, handed_over: bool) {
         let Some(current) = self.handovers.current.take() else {
             return;
         };
         let shard = current.handover.shard;
-        if passed {
-            self.ownership.passed(&current.handover);
-            self.handovers.heirs.insert(shard, current.address);
+        if handed_over {
+            self.ownership.handover_completed(&current.handover);
+            self.handovers.new_holders.insert(shard, current.address);
             self.note(Note::ShardReleased { shard });
-            self.announce();
-            self.after(SETTLE_MS, Timer::ReadRow);
+            self.send_hall_heartbeats();
+            self.set_timer_in(ROW_READ_DELAY_MS, Timer::ReadRow);
         } else {
-            self.ownership.declined(shard);
+            self.ownership.handover_declined(shard);
             if let Some(peer) = self.peers.get_mut(&current.address) {
                 // Counts as silent, so that the next offer goes to another peer.
-                peer.heard = Time::ZERO;
+                peer.last_status = Time::ZERO;
             }
-            self.after(DECLINED_PAUSE_MS, Timer::Handover);
+            self.set_timer_in(DECLINED_PAUSE_MS, Timer::Handover);
         }
-        self.release_parked(shard);
-        if passed {
-            self.offer_next();
+        self.release_deferred(shard);
+        if handed_over {
+            self.start_next_handover();
         }
     }
 
     /// Routes the submissions that were deferred during a handover.
-    pub(super) fn release_parked(&mut self, shard: u16) {
-        let parked = std::mem::take(&mut self.handovers.parked);
-        for p in parked {
-            if p.shard == shard {
-                self.route(p.waiter, p.submission);
+    pub(super) fn release_deferred(&mut self, shard: u16) {
+        let deferred = std::mem::take(&mut self.handovers.deferred);
+        for entry in deferred {
+            if entry.shard == shard {
+                self.route(entry.waiter, entry.submission);
             } else {
-                self.handovers.parked.push(p);
+                self.handovers.deferred.push(entry);
             }
         }
     }
@@ -232,21 +233,21 @@
     /// Handles a handover from a peer.
     pub(super) fn on_handover(&mut self, token: Token, mut handover: Handover) {
         let records = std::mem::take(&mut handover.records);
-        let reply = match self.ownership.accept(&handover, self.now) {
-            Acceptance::Accepted => {
-                self.handovers.heirs.remove(&handover.shard);
+        let reply = match self.ownership.receive_handover(&handover, self.now) {
+            HandoverDecision::Accepted => {
+                self.handovers.new_holders.remove(&handover.shard);
                 self.merge_records(records);
                 self.note(Note::ShardAcquired {
                     shard: handover.shard,
                     epoch: handover.epoch.0,
                 });
-                self.announce();
+                self.send_hall_heartbeats();
                 self.read_row();
                 PeerReply::Done
             }
-            Acceptance::Repeated => PeerReply::Done,
-            Acceptance::Declined => PeerReply::Declined,
-            Acceptance::NotAddressee => PeerReply::NotAddressee,
+            HandoverDecision::Repeated => PeerReply::Done,
+            HandoverDecision::Declined => PeerReply::Declined,
+            HandoverDecision::NotAddressee => PeerReply::NotAddressee,
         };
         self.reply(token, reply);
     }
--- a/crates/entry-core/src/host/gossip.rs
+++ b/crates/entry-core/src/host/heartbeat.rs
@@ -6,17 +6,17 @@
 use gannetridge_entry_wire::{HostId, Time};
 use gannetridge_wire::Name;
 
-use super::borrow::Lender;
-use super::calls::Call;
+use super::borrow::LenderState;
+use super::calls::CallPurpose;
 use super::Host;
 use crate::event::{SendFailure, Token};
 
 /// A peer counts as alive for this long after its last status, in ms.
-pub(super) const SILENCE_MS: u64 = 3_000;
+pub(super) const PEER_TIMEOUT_MS: u64 = 3_000;
 /// Number of heartbeat rounds per heartbeat to a host of another hall.
-const FAR_EVERY: u64 = 3;
+const REMOTE_HEARTBEAT_INTERVAL: u64 = 3;
 /// Timeout of the reply to a heartbeat, in ms.
-const HEARTBEAT_WAIT_MS: u64 = 1_000;
+const HEARTBEAT_TIMEOUT_MS: u64 = 1_000;
 
 /// The state of another entry host.
 #[derive(Clone, Debug)]
@@ -26,11 +26,11 @@
     /// Its hall; empty before it is known.
     pub(super) hall: Name,
     /// When its last status was received.
-    pub(super) heard: Time,
+    pub(super) last_status: Time,
     /// When the last heartbeat that it initiated was received.
-    pub(super) called: Time,
+    pub(super) last_heartbeat: Time,
     /// Its state as a lender of slots.
-    pub(super) lender: Lender,
+    pub(super) lender: LenderState,
     /// The slots that accounts use through it.
     pub(super) usage: Vec<(Name, u32)>,
 }
@@ -40,9 +40,9 @@
         Self {
             id: None,
             hall: "".into(),
-            heard: Time::ZERO,
-            called: Time::ZERO,
-            lender: Lender::default(),
+            last_status: Time::ZERO,
+            last_heartbeat: Time::ZERO,
+            lender: LenderState::default(),
             usage: Vec::new(),
         }
     }
@@ -80,22 +80,22 @@
 
     /// Sends heartbeats to the hall's hosts and, every few rounds, to one of another hall.
     pub(super) fn send_heartbeats(&mut self) {
-        self.heartbeats += 1;
+        self.heartbeat_rounds += 1;
         self.add_peers_from_rows();
         let mut addresses = BTreeSet::new();
-        let mut far = Vec::new();
+        let mut remote = Vec::new();
         for (address, peer) in &self.peers {
             if peer.hall == self.settings.hall || peer.id.is_none() {
-                if !self.leaves_heartbeat_to(address, peer) {
+                if !self.can_skip_heartbeat_to(address, peer) {
                     addresses.insert(address.clone());
                 }
             } else {
-                far.push(address.clone());
+                remote.push(address.clone());
             }
         }
-        if !far.is_empty() && self.heartbeats % FAR_EVERY == 0 {
-            let turn = (self.heartbeats / FAR_EVERY) as usize % far.len();
-            addresses.insert(far.swap_remove(turn));
+        if !remote.is_empty() && self.heartbeat_rounds % REMOTE_HEARTBEAT_INTERVAL == 0 {
+            let turn = (self.heartbeat_rounds / REMOTE_HEARTBEAT_INTERVAL) as usize % remote.len();
+            addresses.insert(remote.swap_remove(turn));
         }
         for address in addresses {
             self.send_heartbeat(address);
@@ -105,19 +105,19 @@
     /// Returns true if a peer's own heartbeats suffice, so that this host need not send any:
     /// of each pair, the host with the higher address relies on the other one's. With
     /// promises to request, both send.
-    fn leaves_heartbeat_to(&self, address: &Name, peer: &Peer) -> bool {
+    fn can_skip_heartbeat_to(&self, address: &Name, peer: &Peer) -> bool {
         let tuning = &self.settings.tuning;
         let recent = self.now.minus_millis(tuning.heartbeat_ms * 3 / 2);
-        let served = *address < self.settings.address && peer.called >= recent;
+        let served = *address < self.settings.address && peer.last_heartbeat >= recent;
         let soon = self.now.plus_millis(tuning.lease_ms / 2);
         served && !self.ownership.needs_promises(soon)
     }
 
     /// Sends a heartbeat to every host of the hall at once.
-    pub(super) fn announce(&mut self) {
+    pub(super) fn send_hall_heartbeats(&mut self) {
         let hall = self.settings.hall.clone();
-        let near = self.peers.iter().filter(|(_, peer)| peer.hall == hall);
-        let addresses: Vec<Name> = near.map(|(address, _)| address.clone()).collect();
+        let hall_peers = self.peers.iter().filter(|(_, peer)| peer.hall == hall);
+        let addresses: Vec<Name> = hall_peers.map(|(address, _)| address.clone()).collect();
         for address in addresses {
             self.send_heartbeat(address);
         }
@@ -127,16 +127,16 @@
         let hall = self.peers.get(&address).map(|p| p.hall.clone());
         let hall = hall.unwrap_or_default();
         let promises = if hall == self.settings.hall {
-            self.ownership.promises_wanted(self.now)
+            self.ownership.promises_to_request(self.now)
         } else {
             Vec::new()
         };
         let status = self.status(&hall);
         let request = PeerRequest::Heartbeat { status, promises };
-        let purpose = Call::Heartbeat {
+        let purpose = CallPurpose::Heartbeat {
             address: address.clone(),
         };
-        self.call_peer(purpose, address, request, HEARTBEAT_WAIT_MS);
+        self.call_peer(purpose, address, request, HEARTBEAT_TIMEOUT_MS);
     }
 
     /// Adds the hosts that the halls' rows name, and removes silent ones that neither the
@@ -157,19 +157,19 @@
                 }
             }
         }
-        let heard_after = self.now.minus_millis(SILENCE_MS);
+        let alive_since = self.now.minus_millis(PEER_TIMEOUT_MS);
         self.peers
-            .retain(|address, p| named.contains(address) || p.heard >= heard_after);
+            .retain(|address, p| named.contains(address) || p.last_status >= alive_since);
     }
 
     pub(super) fn on_heartbeat(&mut self, token: Token, status: Status, wanted: &[PromiseRequest]) {
         let hall = status.hall.clone();
         let address = status.address.clone();
-        self.heard(status);
+        self.apply_status(status);
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.called = self.now;
+            peer.last_heartbeat = self.now;
         }
-        let promised = self.ownership.promise(wanted, self.now);
+        let promised = self.ownership.grant_promises(wanted, self.now);
         let status = self.status(&hall);
         self.reply(token, PeerReply::Heartbeat { status, promised });
     }
@@ -182,19 +182,19 @@
         match reply {
             Ok(PeerReply::Heartbeat { status, promised }) => {
                 let id = status.host.clone();
-                self.heard(status);
-                self.ownership.promised(&id, &promised, self.now);
+                self.apply_status(status);
+                self.ownership.record_promises(&id, &promised, self.now);
             }
             _ => {
                 if let Some(peer) = self.peers.get_mut(address) {
-                    peer.lender.silent();
+                    peer.lender.mark_unreachable();
                 }
             }
         }
     }
 
     /// Applies the status of a peer.
-    fn heard(&mut self, status: Status) {
+    fn apply_status(&mut self, status: Status) {
         if status.address == self.settings.address {
             return;
         }
@@ -202,21 +202,22 @@
         let peer = self.peers.entry(status.address.clone()).or_default();
         peer.id = Some(status.host.clone());
         peer.hall = status.hall.clone();
-        peer.heard = now;
-        peer.lender.learn(status.spare);
+        peer.last_status = now;
+        peer.lender.update(status.spare);
         if status.hall == self.settings.hall {
             peer.usage.clone_from(&status.usage);
         } else {
-            self.heard_usage(&status);
+            self.record_remote_usage(&status);
         }
-        self.directory.heard(&status);
-        self.ownership.peer_runs(&status.host, &status.address, now);
+        self.directory.record_status(&status);
+        self.ownership
+            .record_incarnation(&status.host, &status.address, now);
         if status.resigned {
-            self.ownership.peer_resigned(&status.host, now);
+            self.ownership.record_resignation(&status.host, now);
         }
         for name in &status.leaving {
             if let Some(index) = self.targets.find(name) {
-                self.target_leaves(index);
+                self.mark_target_leaving(index);
             }
         }
         let behind = status.config_version > self.config.version();
@@ -227,12 +228,12 @@
 
     /// Divides the targets' slots among the hosts of the hall that are alive.
     pub(super) fn divide_targets(&mut self) {
-        let heard_after = self.now.minus_millis(SILENCE_MS);
+        let alive_since = self.now.minus_millis(PEER_TIMEOUT_MS);
         let hall = &self.settings.hall;
-        let heard = |p: &&Peer| p.hall == *hall && p.heard >= heard_after;
+        let is_alive = |p: &&Peer| p.hall == *hall && p.last_status >= alive_since;
         let row = self.ownership.row();
         let mut members = Vec::new();
-        for peer in self.peers.values().filter(heard) {
+        for peer in self.peers.values().filter(is_alive) {
             let Some(id) = &peer.id else { continue };
             if row.member(id).is_some() {
                 members.push(id.name.clone());
--- a/crates/entry-core/src/host/lend.rs
+++ b/crates/entry-core/src/host/lend.rs
@@ -13,15 +13,15 @@
 
 /// Divisor for the part of a host's slots that it doesn't lend to tasks over their
 /// quota. For other tasks nothing is kept back.
-const KEEP_DIVISOR: u32 = 2;
+const RESERVED_DIVISOR: u32 = 2;
 /// Longest time for which a borrow request waits, in ms.
-const LONGEST_WAIT_MS: u64 = 2_000;
+const MAX_WAIT_MS: u64 = 2_000;
 /// Largest number of waiting borrow requests; further ones are answered at once.
-const MOST_QUESTIONS: usize = 256;
+const MAX_WAITING_REQUESTS: usize = 256;
 
 /// A peer's request to borrow slots.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Question {
+pub(super) struct BorrowRequest {
     pub(super) token: Token,
     pub(super) count: u32,
     pub(super) over_quota: bool,
@@ -31,42 +31,43 @@
 
 /// Borrow requests that wait for slots, by priority.
 #[derive(Debug, Default)]
-pub(super) struct Questions {
+pub(super) struct BorrowRequests {
     /// The key is (over quota, due time, token): requests within quotas go first.
-    waiting: BTreeMap<(bool, Time, Token), WaitingQuestion>,
+    waiting: BTreeMap<(bool, Time, Token), WaitingRequest>,
 }
 
 #[derive(Debug)]
-struct WaitingQuestion {
+struct WaitingRequest {
     count: u32,
     until: Time,
 }
 
-impl Questions {
-    fn add(&mut self, question: Question, until: Time) {
-        let waiting = WaitingQuestion {
-            count: question.count,
+impl BorrowRequests {
+    fn add(&mut self, request: BorrowRequest, until: Time) {
+        let waiting = WaitingRequest {
+            count: request.count,
             until,
         };
-        let key = (question.over_quota, question.due, question.token);
+        let key = (request.over_quota, request.due, request.token);
         self.waiting.insert(key, waiting);
     }
 
-    /// Returns true if the first request is for tasks over their quota.
+    /// Returns true if the first request is for tasks over their quota, or `None` if no
+    /// request waits.
     fn first_is_over_quota(&self) -> Option<bool> {
         let ((over_quota, ..), _) = self.waiting.first_key_value()?;
         Some(*over_quota)
     }
 
     fn pop_first(&mut self) -> Option<(Token, u32)> {
-        let ((.., token), question) = self.waiting.pop_first()?;
-        Some((token, question.count))
+        let ((.., token), request) = self.waiting.pop_first()?;
+        Some((token, request.count))
     }
 
     /// Removes and returns the requests that have waited long enough.
-    fn pop_over(&mut self, now: Time) -> Vec<Token> {
-        let over = self.waiting.iter().filter(|(_, q)| q.until <= now);
-        let keys: Vec<_> = over.map(|(key, _)| *key).collect();
+    fn pop_expired(&mut self, now: Time) -> Vec<Token> {
+        let expired = self.waiting.iter().filter(|(_, r)| r.until <= now);
+        let keys: Vec<_> = expired.map(|(key, _)| *key).collect();
         for key in &keys {
             self.waiting.remove(key);
         }
@@ -83,15 +84,15 @@
     /// they do on this host.
     fn lendable(&self, over_quota: bool) -> u32 {
         let lends = self.settings.tuning.placement == Placement::SharesLending;
-        if !lends || self.stop.asked || self.queue.entitled() > 0 {
+        if !lends || self.stop.requested || self.queue.waiting_within_quota() > 0 {
             return 0;
         }
-        let keep = if over_quota {
-            self.targets.own_capacity() / KEEP_DIVISOR
+        let reserved = if over_quota {
+            self.targets.own_capacity() / RESERVED_DIVISOR
         } else {
             0
         };
-        self.targets.own_free().saturating_sub(keep)
+        self.targets.own_free().saturating_sub(reserved)
     }
 
     /// Returns the slots that this host reports as available to peers.
@@ -99,55 +100,57 @@
         Spare {
             free: self.lendable(false),
             surplus: self.lendable(true),
-            waits: self.queue.entitled() > 0,
+            waits: self.queue.waiting_within_quota() > 0,
         }
     }
 
     /// Handles a peer's borrow request: lends at once what is available, or lets the
     /// request wait.
-    pub(super) fn on_borrow(&mut self, from: &Name, question: Question) {
+    pub(super) fn on_borrow(&mut self, from: &Name, request: BorrowRequest) {
         if let Some(peer) = self.peers.get_mut(from) {
             // A peer that borrows has nothing to lend.
-            peer.lender.learn(Spare {
+            peer.lender.update(Spare {
                 free: 0,
                 surplus: 0,
                 waits: true,
             });
         }
-        let wait_ms = question.wait_ms.min(LONGEST_WAIT_MS);
-        let waits = wait_ms > 0 && !self.stop.asked && self.questions.len() < MOST_QUESTIONS;
-        let lendable = self.lendable(question.over_quota);
+        let wait_ms = request.wait_ms.min(MAX_WAIT_MS);
+        let waits = wait_ms > 0
+            && !self.stop.requested
+            && self.borrow_requests.len() < MAX_WAITING_REQUESTS;
+        let lendable = self.lendable(request.over_quota);
         if lendable > 0 || !waits {
-            return self.lend(question.token, question.count.min(lendable));
+            return self.lend(request.token, request.count.min(lendable));
         }
         let until = self.now.plus_millis(wait_ms);
-        self.questions.add(question, until);
-        self.timers.set(until, Timer::QuestionsOver);
+        self.borrow_requests.add(request, until);
+        self.timers.set(until, Timer::BorrowRequestsExpired);
     }
 
     /// Lends slots that have become free to the peers whose requests wait.
-    pub(super) fn serve_questions(&mut self) {
-        while let Some(over_quota) = self.questions.first_is_over_quota() {
+    pub(super) fn serve_borrow_requests(&mut self) {
+        while let Some(over_quota) = self.borrow_requests.first_is_over_quota() {
             let lendable = self.lendable(over_quota);
             if lendable == 0 {
                 return;
             }
-            if let Some((token, count)) = self.questions.pop_first() {
+            if let Some((token, count)) = self.borrow_requests.pop_first() {
                 self.lend(token, count.min(lendable));
             }
         }
     }
 
     /// Answers the requests that have waited long enough.
-    pub(super) fn end_questions(&mut self) {
-        for token in self.questions.pop_over(self.now) {
+    pub(super) fn answer_expired_borrow_requests(&mut self) {
+        for token in self.borrow_requests.pop_expired(self.now) {
             self.lend(token, 0);
         }
     }
 
     /// Answers all waiting requests, since the host is stopping.
-    pub(super) fn dismiss_questions(&mut self) {
-        while let Some((token, _)) = self.questions.pop_first() {
+    pub(super) fn answer_all_borrow_requests(&mut self) {
+        while let Some((token, _)) = self.borrow_requests.pop_first() {
             self.lend(token, 0);
         }
     }
--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -4,37 +4,36 @@
 //!
 //! - Submissions: `submit` handles them, `forward` forwards them to the holder of their
 //!   shard, `accept` decides which become jobs, `ends` ends jobs.
-//! - Tasks: `run` starts them, `run_ends` handles the targets' replies, `ask` queries
-//!   targets after a lost reply, `retries` decides what is sent again.
+//! - Tasks: `run` starts them, `run_ends` handles the targets' replies, `query` asks
+//!   targets about runs after a lost reply, `retries` decides what is sent again.
 //! - Slots: `borrow` and `lend` move free ones between hosts, `quotas` tracks the
 //!   accounts' use.
 //! - Shards: `owner` renews the lease, `handover` hands shards over, `updates` reports
 //!   ended jobs to the new holders, `stopping` shuts the host down gracefully.
-//! - Shared state: `gossip` exchanges heartbeats, `follow` reads the configuration and
-//!   the platform's list, `configure` writes operators' changes.
+//! - Shared state: `heartbeat` exchanges heartbeats, `sync` reads the configuration and
+//!   the platform's list, `config_changes` writes operators' changes.
 //! - `peers` dispatches peers' requests and replies; `calls` and `timers` serve all.
-//! leads peers' requests and replies to these; `calls` and `timers` serve them all.
 
 mod accept;
-mod ask;
 mod borrow;
 mod calls;
+mod config_changes;
 mod config_rows;
-mod configure;
 mod ends;
-mod follow;
 mod forward;
-mod gossip;
 mod handover;
+mod heartbeat;
 mod lend;
 mod owner;
 mod peers;
+mod query;
 mod quotas;
 mod retries;
 mod run;
 mod run_ends;
 mod stopping;
 mod submit;
+mod sync;
 mod timers;
 mod updates;
 
@@ -47,14 +46,14 @@
 use rand_pcg::Pcg32;
 
 use crate::action::Action;
-use crate::admission::Pace;
+use crate::admission::RunTimeRatio;
 use crate::config_store::ConfigStore;
 use crate::directory::Directory;
 use crate::event::{CallId, Event};
 use crate::job::Job;
 use crate::keys::JobKey;
 use crate::ledger::{Ledger, Waiter};
-use crate::loans::{BorrowedSlots, LentOut};
+use crate::loans::{BorrowedSlots, LentLoans};
 use crate::ownership::Ownership;
 use crate::queue::Queue;
 use crate::retry::RetryBudget;
@@ -62,15 +61,15 @@
 use crate::targets::Targets;
 
 use calls::Calls;
-use configure::Changes;
+use config_changes::PendingChanges;
 use forward::Forwards;
-use gossip::Peer;
 use handover::Handovers;
-use lend::Questions;
+use heartbeat::Peer;
+use lend::BorrowRequests;
 use owner::HallReads;
-use quotas::FarUsage;
+use quotas::RemoteUsage;
 use run::RunningTask;
-use stopping::Stop;
+use stopping::StopState;
 use timers::Timers;
 
 /// One entry host.
@@ -79,7 +78,7 @@
     now: Time,
     rng: Pcg32,
     /// The actions of the event being handled.
-    out: Vec<Action>,
+    actions: Vec<Action>,
     timers: Timers,
     calls: Calls,
     ownership: Ownership,
@@ -94,23 +93,23 @@
     list: Option<HostList>,
     queue: Queue,
     borrowed: BorrowedSlots,
-    lent: LentOut,
+    lent: LentLoans,
     /// Peers' borrow requests that wait for slots.
-    questions: Questions,
-    pace: Pace,
+    borrow_requests: BorrowRequests,
+    run_time_ratio: RunTimeRatio,
     budget: RetryBudget,
     peers: BTreeMap<Name, Peer>,
     /// The slots that accounts use in other halls, as last reported.
-    far_usage: FarUsage,
+    remote_usage: RemoteUsage,
     forwards: Forwards,
     handovers: Handovers,
-    changes: Changes,
+    changes: PendingChanges,
     hall_reads: HallReads,
     /// True while a read or write of the hall's row is in progress.
-    row_busy: bool,
+    row_access_pending: bool,
     /// The number of heartbeat rounds so far.
-    heartbeats: u64,
-    stop: Stop,
+    heartbeat_rounds: u64,
+    stop: StopState,
 }
 
 impl Host {
@@ -126,7 +125,7 @@
         let mut host = Self {
             now,
             rng: Pcg32::seed_from_u64(settings.seed),
-            out: Vec::new(),
+            actions: Vec::new(),
             timers: Timers::default(),
             calls: Calls::default(),
             ownership: Ownership::new(&settings, now),
@@ -140,19 +139,19 @@
             list: None,
             queue: Queue::default(),
             borrowed: BorrowedSlots::default(),
-            lent: LentOut::default(),
-            questions: Questions::default(),
-            pace: Pace::default(),
+            lent: LentLoans::default(),
+            borrow_requests: BorrowRequests::default(),
+            run_time_ratio: RunTimeRatio::default(),
             budget: RetryBudget::new(now),
             peers: BTreeMap::new(),
-            far_usage: FarUsage::default(),
+            remote_usage: RemoteUsage::default(),
             forwards: Forwards::default(),
             handovers: Handovers::default(),
-            changes: Changes::default(),
+            changes: PendingChanges::default(),
             hall_reads: HallReads::default(),
-            row_busy: false,
-            heartbeats: 0,
-            stop: Stop::not_asked(),
+            row_access_pending: false,
+            heartbeat_rounds: 0,
+            stop: StopState::not_requested(),
             settings,
         };
         host.add_seed_peers();
@@ -206,7 +205,7 @@
     /// stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        !self.stop.asked && self.config.version() > 0 && !self.targets.is_empty()
+        !self.stop.requested && self.config.version() > 0 && !self.targets.is_empty()
     }
 
     /// Handles one event at the time `now` and returns the resulting actions.
@@ -218,7 +217,7 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         // A clock that is set back must not restore an expired right.
         self.now = self.now.max(now);
-        self.ownership.touch(self.now);
+        self.ownership.expire_rights(self.now);
         self.run_timers();
         match event {
             Event::Submit { token, submission } => {
@@ -228,14 +227,14 @@
             Event::PeerReply { call, reply } => self.on_peer_reply(call, reply),
             Event::TaskReply { call, reply } => self.on_task_reply(call, reply),
             Event::TableReply { call, reply } => self.on_table_reply(call, reply),
-            Event::Listed(list) => self.take_list(list),
+            Event::Listed(list) => self.apply_list(list),
             Event::Change { token, change } => self.on_change(token, change),
             Event::Tick => {}
             Event::Stop => self.on_stop(),
         }
-        self.pump();
-        self.serve_questions();
-        self.check_stopped();
-        std::mem::take(&mut self.out)
+        self.start_waiting_tasks();
+        self.serve_borrow_requests();
+        self.stop_if_done();
+        std::mem::take(&mut self.actions)
     }
 }
--- a/crates/entry-core/src/host/owner.rs
+++ b/crates/entry-core/src/host/owner.rs
@@ -8,14 +8,14 @@
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 
-use super::calls::Call;
+use super::calls::CallPurpose;
 use super::Host;
 use crate::action::Note;
 use crate::event::CallId;
-use crate::ownership::Changes;
+use crate::ownership::OwnershipChanges;
 
 /// Shortest time between reads of another hall's row, in ms.
-const HALLS_READ_GAP_MS: u64 = 200;
+const HALL_READ_INTERVAL_MS: u64 = 200;
 
 /// The state of the reads of other halls' rows.
 #[derive(Debug, Default)]
@@ -32,42 +32,42 @@
         call: CallId,
         reply: Result<TableResult, TableFailure>,
     ) {
-        let Some(purpose) = self.calls.open.remove(&call) else {
+        let Some(purpose) = self.calls.pending.remove(&call) else {
             return;
         };
         match purpose {
-            Call::ReadRow => self.on_row_read(reply),
-            Call::WriteRow => self.on_row_written(reply),
-            Call::ReadHalls => self.on_halls_read(reply),
-            Call::ReadHead => self.on_head_read(reply),
-            Call::ReadConfig => self.on_config_read(reply),
-            Call::ChangeRead(change) => self.on_change_read(change, reply),
-            Call::ChangeWrite(change) => self.on_change_written(change, reply),
+            CallPurpose::ReadRow => self.on_row_read(reply),
+            CallPurpose::WriteRow => self.on_row_written(reply),
+            CallPurpose::ReadHalls => self.on_halls_read(reply),
+            CallPurpose::ReadHead => self.on_head_read(reply),
+            CallPurpose::ReadConfig => self.on_config_read(reply),
+            CallPurpose::ChangeRead(change) => self.on_change_read(change, reply),
+            CallPurpose::ChangeWrite(change) => self.on_change_written(change, reply),
             _ => {}
         }
     }
 
     /// Starts a renewal: reads the hall's row, then writes it.
     pub(super) fn read_row(&mut self) {
-        if self.row_busy || self.stop.done {
+        if self.row_access_pending || self.stop.done {
             return;
         }
-        self.row_busy = true;
+        self.row_access_pending = true;
         let key = hall_key(&self.settings.hall);
-        self.call_table(Call::ReadRow, TableOp::Get { key });
+        self.call_table(CallPurpose::ReadRow, TableOp::Get { key });
     }
 
     fn on_row_read(&mut self, reply: Result<TableResult, TableFailure>) {
-        self.row_busy = false;
+        self.row_access_pending = false;
         let Ok(TableResult::Rows { rows }) = reply else {
             return;
         };
-        self.adopt_rows(&rows);
+        self.apply_rows(&rows);
         self.write_row();
     }
 
     /// Applies the hall's row, if it is readable; an absent row is an empty one.
-    fn adopt_rows(&mut self, rows: &[Row]) {
+    fn apply_rows(&mut self, rows: &[Row]) {
         let key = hall_key(&self.settings.hall);
         let (row, version) = match rows.iter().find(|row| row.key == key) {
             None => (HallRow::empty(), 0),
@@ -77,7 +77,7 @@
                 Err(_) => return,
             },
         };
-        let changes = self.ownership.adopt(row, version, self.now);
+        let changes = self.ownership.apply_row(row, version, self.now);
         self.apply_changes(changes);
     }
 
@@ -86,29 +86,29 @@
         let Some(row) = self.ownership.compose(self.now) else {
             return;
         };
-        self.row_busy = true;
+        self.row_access_pending = true;
         let key = hall_key(&self.settings.hall);
         let checks = vec![Check {
             key: key.clone(),
             version: self.ownership.version(),
         }];
-        let value = serde_json::to_string(&row).expect("plain data has a JSON form");
+        let value = serde_json::to_string(&row).expect("serialising plain data can't fail");
         let writes = vec![Write {
             key,
             value: value.into(),
         }];
-        self.call_table(Call::WriteRow, TableOp::Commit { checks, writes });
+        self.call_table(CallPurpose::WriteRow, TableOp::Commit { checks, writes });
     }
 
     fn on_row_written(&mut self, reply: Result<TableResult, TableFailure>) {
-        self.row_busy = false;
+        self.row_access_pending = false;
         match reply {
             Ok(TableResult::Committed) => {
-                let changes = self.ownership.committed(self.now);
+                let changes = self.ownership.write_committed(self.now);
                 self.apply_changes(changes);
             }
             Ok(TableResult::Conflict { rows }) => {
-                self.adopt_rows(&rows);
+                self.apply_rows(&rows);
                 self.write_row();
             }
             Ok(TableResult::Rows { .. }) => {}
@@ -117,7 +117,7 @@
     }
 
     /// Acts on changes of ownership after a new row was applied.
-    fn apply_changes(&mut self, changes: Changes) {
+    fn apply_changes(&mut self, changes: OwnershipChanges) {
         let hall = self.settings.hall.clone();
         self.directory.set_row(&hall, self.ownership.row().clone());
         let moved = !changes.acquired.is_empty() || !changes.lost.is_empty();
@@ -127,19 +127,19 @@
                 .iter()
                 .find(|(s, _)| *s == shard)
                 .map_or(0, |(_, e)| e.0);
-            self.handovers.heirs.remove(&shard);
+            self.handovers.new_holders.remove(&shard);
             self.note(Note::ShardAcquired { shard, epoch });
         }
         for shard in changes.lost {
-            self.fail_jobs_of(shard);
-            self.release_parked(shard);
+            self.fail_jobs_of_lost_shard(shard);
+            self.release_deferred(shard);
             self.note(Note::ShardReleased { shard });
         }
         if moved {
-            self.announce();
+            self.send_hall_heartbeats();
         }
         self.divide_targets();
-        self.offer_next();
+        self.start_next_handover();
     }
 
     /// Reads all halls' rows until some are known, and from then on one other hall's row in
@@ -155,7 +155,7 @@
             .collect();
         if others.is_empty() {
             let prefix = HALL_PREFIX.into();
-            return self.call_table(Call::ReadHalls, TableOp::Scan { prefix });
+            return self.call_table(CallPurpose::ReadHalls, TableOp::Scan { prefix });
         }
         self.hall_reads.polls += 1;
         let hall = others[self.hall_reads.polls % others.len()].clone();
@@ -165,12 +165,12 @@
     /// Reads one hall's row, unless it was read just before.
     pub(super) fn read_hall(&mut self, hall: &Name) {
         let read = self.hall_reads.last_read.get(hall);
-        if read.is_some_and(|at| self.now < at.plus_millis(HALLS_READ_GAP_MS)) {
+        if read.is_some_and(|at| self.now < at.plus_millis(HALL_READ_INTERVAL_MS)) {
             return;
         }
         self.hall_reads.last_read.insert(hall.clone(), self.now);
         let key = hall_key(hall);
-        self.call_table(Call::ReadHalls, TableOp::Get { key });
+        self.call_table(CallPurpose::ReadHalls, TableOp::Get { key });
     }
 
     fn on_halls_read(&mut self, reply: Result<TableResult, TableFailure>) {
--- a/crates/entry-core/src/host/peers.rs
+++ b/crates/entry-core/src/host/peers.rs
@@ -2,33 +2,35 @@
 
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 
-use super::calls::Call;
-use super::lend::Question;
+use super::calls::CallPurpose;
+use super::lend::BorrowRequest;
 use super::Host;
 use crate::event::{CallId, SendFailure, Token};
 use crate::ledger::Waiter;
 
 impl Host {
     pub(super) fn on_peer_reply(&mut self, call: CallId, reply: Result<PeerReply, SendFailure>) {
-        let Some(purpose) = self.calls.open.remove(&call) else {
+        let Some(purpose) = self.calls.pending.remove(&call) else {
             return;
         };
         match purpose {
-            Call::Forward(forward) => self.on_forwarded(forward, reply),
-            Call::Heartbeat { address } => self.on_heartbeat_reply(&address, reply),
-            Call::Borrow { address } => self.on_lent(address, reply),
-            Call::Handover { serial } => self.on_handover_reply(serial, reply),
-            Call::Update { shard, tries } => self.on_update_reply(shard, tries, reply),
-            Call::ConfigPull => self.on_config_pulled(reply),
+            CallPurpose::Forward(forward) => self.on_forward_reply(forward, reply),
+            CallPurpose::Heartbeat { address } => self.on_heartbeat_reply(&address, reply),
+            CallPurpose::Borrow { address } => self.on_borrow_reply(address, reply),
+            CallPurpose::Handover { serial } => self.on_handover_reply(serial, reply),
+            CallPurpose::Update { shard, tries } => self.on_update_reply(shard, tries, reply),
+            CallPurpose::ConfigPull => self.on_config_pulled(reply),
             // If the return is lost, the lender reclaims the slots once the loan is overdue.
-            Call::Return => {}
-            Call::ReadRow
-            | Call::WriteRow
-            | Call::ReadHalls
-            | Call::ReadHead
-            | Call::ReadConfig
-            | Call::ChangeRead(_)
-            | Call::ChangeWrite(_) => unreachable!("peers don't answer for the table"),
+            CallPurpose::Return => {}
+            CallPurpose::ReadRow
+            | CallPurpose::WriteRow
+            | CallPurpose::ReadHalls
+            | CallPurpose::ReadHead
+            | CallPurpose::ReadConfig
+            | CallPurpose::ChangeRead(_)
+            | CallPurpose::ChangeWrite(_) => {
+                unreachable!("a call to the table gets no reply from a peer")
+            }
         }
     }
 
@@ -40,9 +42,9 @@
                 again,
                 submission,
             } => {
-                if self.forwards.seen.is_new((from, serial), self.now) {
+                if self.forwards.seen.insert((from, serial), self.now) {
                     let waiter = if again {
-                        Waiter::PeerAgain(token)
+                        Waiter::PeerRetry(token)
                     } else {
                         Waiter::Peer(token)
                     };
@@ -61,17 +63,17 @@
                 due,
                 wait_ms,
             } => {
-                let question = Question {
+                let borrow = BorrowRequest {
                     token,
                     count,
                     over_quota,
                     due,
                     wait_ms,
                 };
-                self.on_borrow(&from, question);
+                self.on_borrow(&from, borrow);
             }
             PeerRequest::Return { loan, returned } => {
-                self.lent.returned(&mut self.targets, loan, &returned);
+                self.lent.record_returns(&mut self.targets, loan, &returned);
                 self.reply(token, PeerReply::Done);
             }
             PeerRequest::Handover(handover) => self.on_handover(token, *handover),
--- a/crates/entry-core/src/host/ask.rs
+++ b/crates/entry-core/src/host/query.rs
@@ -3,7 +3,7 @@
 use gannetridge_entry_wire::target::AskTask;
 use gannetridge_entry_wire::FailureCause;
 
-use super::run::{RunningTask, ASK_WAIT_MS, LAST_ASK_MS};
+use super::run::{RunningTask, QUERY_MAX_BACKOFF_MS, QUERY_TIMEOUT_MS};
 use super::timers::Timer;
 use super::Host;
 use crate::action::{Action, Waste};
@@ -12,61 +12,66 @@
 use crate::retry::backoff_ms;
 
 /// Base of the backoff between status queries, in ms.
-const FIRST_ASK_MS: u64 = 20;
+const QUERY_BACKOFF_BASE_MS: u64 = 20;
 
 impl Host {
     /// Schedules a status query, unless the job has ended or the run's lease has expired.
-    pub(super) fn ask_later(&mut self, call: CallId, task: &RunningTask) {
-        let asked = match self.jobs.get_mut(&task.job) {
+    pub(super) fn schedule_query(&mut self, call: CallId, task: &RunningTask) {
+        let status_queries = match self.jobs.get_mut(&task.job) {
             Some(job) => {
-                let asked = &mut job.tasks[task.index as usize].asked;
-                *asked += 1;
-                *asked
+                let status_queries = &mut job.tasks[task.index as usize].status_queries;
+                *status_queries += 1;
+                *status_queries
             }
-            None => return self.end_run(call, task),
+            None => return self.release_run(call, task),
         };
         if let Some(running) = self.running.get_mut(&call) {
-            running.asking = true;
+            running.queried = true;
         }
-        if self.now > task.lease_past {
-            return self.on_lease_past(call, task);
+        if self.now > task.lease_expired_at {
+            return self.on_lease_expired(call, task);
         }
-        let wait_ms = backoff_ms(&mut self.rng, asked, FIRST_ASK_MS, LAST_ASK_MS);
-        self.after(wait_ms, Timer::Ask(call));
+        let wait_ms = backoff_ms(
+            &mut self.rng,
+            status_queries,
+            QUERY_BACKOFF_BASE_MS,
+            QUERY_MAX_BACKOFF_MS,
+        );
+        self.set_timer_in(wait_ms, Timer::Query(call));
     }
 
     /// Queries the target of a run about its state.
-    pub(super) fn ask(&mut self, call: CallId) {
+    pub(super) fn query_run(&mut self, call: CallId) {
         let Some(task) = self.running.get(&call) else {
             return;
         };
         let ask = AskTask {
             task: task.id.clone(),
             sent: task.sent,
-            stop: task.stopped,
+            stop: task.stop_requested,
         };
         let address = self.targets.get(task.target).address.clone();
-        self.waste(Waste::AskedAgain);
-        self.out.push(Action::Ask {
+        self.note_wasted(Waste::AskedAgain);
+        self.actions.push(Action::Ask {
             call,
             address,
             ask,
-            wait_ms: ASK_WAIT_MS,
+            wait_ms: QUERY_TIMEOUT_MS,
         });
     }
 
     /// Handles a run whose lease has expired on every clock without the target having
     /// reported its end.
-    pub(super) fn on_lease_past(&mut self, call: CallId, task: &RunningTask) {
-        self.end_run(call, task);
+    pub(super) fn on_lease_expired(&mut self, call: CallId, task: &RunningTask) {
+        self.release_run(call, task);
         let job = self
             .jobs
             .get_mut(&task.job)
-            .expect("asked only for running jobs");
+            .expect("only runs of existing jobs are queried");
         if job.account.repeatable {
-            job.ran = true;
+            job.has_run = true;
             job.advance(task.index, TaskEvent::LeasePast);
-            self.send_again(task.job, task.index);
+            self.retry_task(task.job, task.index);
         } else {
             job.advance(task.index, TaskEvent::GivenUp);
             self.fail_job(task.job, FailureCause::TargetLost);
@@ -79,10 +84,10 @@
         let Some(task) = self.running.get_mut(&call) else {
             return;
         };
-        if task.asking || task.stopped || !self.jobs.contains_key(&task.job) {
+        if task.queried || task.stop_requested || !self.jobs.contains_key(&task.job) {
             return;
         }
-        task.stopped = true;
+        task.stop_requested = true;
         let ask = AskTask {
             task: task.id.clone(),
             sent: task.sent,
@@ -91,11 +96,11 @@
         let address = self.targets.get(task.target).address.clone();
         // The reply to the start reports how the run ended, so this one isn't awaited.
         let call = self.new_call();
-        self.out.push(Action::Ask {
+        self.actions.push(Action::Ask {
             call,
             address,
             ask,
-            wait_ms: ASK_WAIT_MS,
+            wait_ms: QUERY_TIMEOUT_MS,
         });
     }
 }
--- a/crates/entry-core/src/host/quotas.rs
+++ b/crates/entry-core/src/host/quotas.rs
@@ -13,31 +13,34 @@
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 
-use super::gossip::{Peer, SILENCE_MS};
+use super::heartbeat::{Peer, PEER_TIMEOUT_MS};
 use super::Host;
 use crate::queue::Quota;
 
 /// Smallest part of a quota that a host has, in slots.
-const LEAST_QUOTA: f64 = 1.0;
+const MIN_QUOTA: f64 = 1.0;
 /// Age up to which the usage reported by another hall counts, in ms.
-const FAR_NEWS_MS: u64 = 60_000;
+const REMOTE_USAGE_TTL_MS: u64 = 60_000;
 
 /// The slots that accounts use in other halls, as last reported.
 #[derive(Debug, Default)]
-pub(super) struct FarUsage {
+pub(super) struct RemoteUsage {
     halls: BTreeMap<Name, HallUsage>,
 }
 
 #[derive(Debug)]
 struct HallUsage {
-    heard: Time,
+    reported_at: Time,
     slots: BTreeMap<Name, u32>,
 }
 
-impl FarUsage {
+impl RemoteUsage {
     fn of(&self, account: &Name, now: Time) -> u32 {
-        let heard_after = now.minus_millis(FAR_NEWS_MS);
-        let fresh = self.halls.values().filter(|h| h.heard >= heard_after);
+        let reported_since = now.minus_millis(REMOTE_USAGE_TTL_MS);
+        let fresh = self
+            .halls
+            .values()
+            .filter(|h| h.reported_at >= reported_since);
         fresh.filter_map(|hall| hall.slots.get(account)).sum()
     }
 }
@@ -50,42 +53,42 @@
         let halls = account.halls.len() as f64;
         let held = self.ownership.held().len() as f64;
         let part = quota / halls * held / f64::from(SHARDS_PER_HALL);
-        let near = self.near_peers().flat_map(|p| p.usage.iter());
+        let near = self.live_hall_peers().flat_map(|p| p.usage.iter());
         let near: u32 = near
             .filter(|(n, _)| n == name)
             .map(|(_, slots)| slots)
             .sum();
         Quota {
             total: quota,
-            elsewhere: f64::from(near + self.far_usage.of(name, self.now)),
-            least: part.max(LEAST_QUOTA),
+            elsewhere: f64::from(near + self.remote_usage.of(name, self.now)),
+            minimum: part.max(MIN_QUOTA),
         }
     }
 
     /// Iterates over the hall's other hosts that are alive.
-    fn near_peers(&self) -> impl Iterator<Item = &Peer> {
-        let heard_after = self.now.minus_millis(SILENCE_MS);
+    fn live_hall_peers(&self) -> impl Iterator<Item = &Peer> {
+        let alive_since = self.now.minus_millis(PEER_TIMEOUT_MS);
         let hall = &self.settings.hall;
         let peers = self.peers.values();
-        peers.filter(move |p| p.hall == *hall && p.heard >= heard_after)
+        peers.filter(move |p| p.hall == *hall && p.last_status >= alive_since)
     }
 
     /// Returns the slots that each account uses through this hall's hosts.
     pub(super) fn hall_usage(&self) -> Vec<(Name, u32)> {
         let mut sums: BTreeMap<Name, u32> = self.queue.usage().into_iter().collect();
-        for (name, slots) in self.near_peers().flat_map(|p| p.usage.iter()) {
+        for (name, slots) in self.live_hall_peers().flat_map(|p| p.usage.iter()) {
             *sums.entry(name.clone()).or_default() += slots;
         }
         sums.into_iter().collect()
     }
 
     /// Records the usage that a host of another hall reports for its hall.
-    pub(super) fn heard_usage(&mut self, status: &Status) {
+    pub(super) fn record_remote_usage(&mut self, status: &Status) {
         let usage = HallUsage {
-            heard: self.now,
+            reported_at: self.now,
             slots: status.usage.iter().cloned().collect(),
         };
-        self.far_usage.halls.insert(status.hall.clone(), usage);
+        self.remote_usage.halls.insert(status.hall.clone(), usage);
     }
 
     /// Recomputes all accounts' quotas.
--- a/crates/entry-core/src/host/retries.rs
+++ b/crates/entry-core/src/host/retries.rs
@@ -1,10 +1,10 @@
 //! Decides whether and when a task without an output is sent again.
 //!
 //! A start that the target refused is sent again while its job has time; one that was
-//! not sent, at most `MOST_RETRIES` times per task. A run that started is repeated only
+//! not sent, at most `MAX_RETRIES` times per task. A run that started is repeated only
 //! if the account allows it, with the same limit. Each retry spends from the host's
 //! budget (`crate::retry`); when it is exhausted, a task that never started waits
-//! `OUT_OF_BUDGET_MS`, and one whose run ended without an output fails its job.
+//! `BUDGET_WAIT_MS`, and one whose run ended without an output fails its job.
 
 use gannetridge_entry_wire::FailureCause;
 
@@ -15,21 +15,24 @@
 use crate::keys::JobKey;
 
 /// Largest number of retries of one task.
-const MOST_RETRIES: u32 = 8;
+const MAX_RETRIES: u32 = 8;
 /// Wait before a task is requeued when the retry budget is exhausted, in ms.
-const OUT_OF_BUDGET_MS: u64 = 200;
+const BUDGET_WAIT_MS: u64 = 200;
 
 impl Host {
     /// Repeats a run that has ended without an output if the account, the limit and the
     /// budget allow it, else fails the job.
-    pub(super) fn end_without_output(&mut self, task: &RunningTask, cause: FailureCause) {
-        let job = self.jobs.get_mut(&task.job).expect("the caller found it");
+    pub(super) fn repeat_or_fail(&mut self, task: &RunningTask, cause: FailureCause) {
+        let job = self
+            .jobs
+            .get_mut(&task.job)
+            .expect("the caller looked it up");
         job.advance(task.index, TaskEvent::Failed);
         let repeatable = job.account.repeatable;
         let retries = job.tasks[task.index as usize].retries;
-        if repeatable && retries < MOST_RETRIES && self.budget.spend(self.now) {
-            let job = self.jobs.get_mut(&task.job).expect("just seen");
-            job.ran = true;
+        if repeatable && retries < MAX_RETRIES && self.budget.try_spend(self.now) {
+            let job = self.jobs.get_mut(&task.job).expect("looked up above");
+            job.has_run = true;
             job.tasks[task.index as usize].retries += 1;
             job.advance(task.index, TaskEvent::Repeated);
             self.requeue(task.job, task.index);
@@ -39,21 +42,21 @@
     }
 
     /// Requeues a task whose run has certainly ended or never started, within the limit.
-    pub(super) fn send_again(&mut self, key: JobKey, index: u32) {
+    pub(super) fn retry_task(&mut self, key: JobKey, index: u32) {
         let retries = self.jobs[&key].tasks[index as usize].retries;
-        if retries >= MOST_RETRIES {
+        if retries >= MAX_RETRIES {
             return self.fail_job(key, FailureCause::TargetLost);
         }
-        self.jobs.get_mut(&key).expect("just seen").tasks[index as usize].retries += 1;
-        self.pay_and_requeue(key, index);
+        self.jobs.get_mut(&key).expect("looked up above").tasks[index as usize].retries += 1;
+        self.requeue_within_budget(key, index);
     }
 
     /// Requeues a task at once if the retry budget allows it, else after a wait.
-    pub(super) fn pay_and_requeue(&mut self, key: JobKey, index: u32) {
-        if self.budget.spend(self.now) {
+    pub(super) fn requeue_within_budget(&mut self, key: JobKey, index: u32) {
+        if self.budget.try_spend(self.now) {
             self.requeue(key, index);
         } else {
-            self.after(OUT_OF_BUDGET_MS, Timer::Requeue(key, index));
+            self.set_timer_in(BUDGET_WAIT_MS, Timer::Requeue(key, index));
         }
     }
 
@@ -64,7 +67,7 @@
         };
         job.requeue(index);
         let expected_ms = job.tasks[index as usize].expected_ms;
-        self.queue.task_waits(job.queue, expected_ms);
+        self.queue.add_task(job.queue, expected_ms);
         self.queue.add_job(job.queue, job.due, key);
     }
 }
--- a/crates/entry-core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -14,11 +14,11 @@
 use crate::targets::TargetIndex;
 
 /// Shortest lease of a task, in ms.
-const LEAST_LEASE_MS: u64 = 1_000;
+const MIN_LEASE_MS: u64 = 1_000;
 /// Timeout of the reply to a status query, in ms.
-pub(super) const ASK_WAIT_MS: u64 = 500;
+pub(super) const QUERY_TIMEOUT_MS: u64 = 500;
 /// Longest backoff between status queries, in ms.
-pub(super) const LAST_ASK_MS: u64 = 500;
+pub(super) const QUERY_MAX_BACKOFF_MS: u64 = 500;
 /// A repeatable task is a straggler after this many times its expected run time.
 const STRAGGLER_FACTOR: u64 = 4;
 
@@ -40,39 +40,39 @@
     pub(super) source: SlotSource,
     pub(super) expected_ms: u32,
     pub(super) sent: Time,
-    pub(super) lease_past: Time,
+    pub(super) lease_expired_at: Time,
     /// True once the target is queried about the run.
-    pub(super) asking: bool,
+    pub(super) queried: bool,
     /// True once the target was requested to stop the run.
-    pub(super) stopped: bool,
+    pub(super) stop_requested: bool,
 }
 
 impl Host {
     /// Starts waiting tasks while there are slots for them, and borrows slots for the rest.
-    pub(super) fn pump(&mut self) {
-        let mut passed = Vec::new();
-        while self.queue.tasks() > 0 {
+    pub(super) fn start_waiting_tasks(&mut self) {
+        let mut excluded = Vec::new();
+        while self.queue.waiting_tasks() > 0 {
             let slots = FreeSlots {
-                free: self.targets.own_free() + self.borrowed.idle() as u32,
+                free: self.targets.own_free() + self.borrowed.idle_count() as u32,
                 capacity: self.targets.own_capacity(),
             };
             if slots.free == 0 {
                 break;
             }
-            let Some((account, job)) = self.queue.next(slots, &passed) else {
+            let Some((account, job)) = self.queue.next_job(slots, &excluded) else {
                 break;
             };
-            if self.cannot_start(job) {
+            if self.fail_if_unstartable(job) {
                 continue;
             }
             match self.take_slot(job) {
                 Some((target, source)) => self.start(job, target, source),
-                None => passed.push(account),
+                None => excluded.push(account),
             }
         }
-        if self.queue.tasks() > 0 {
-            self.borrow_more();
-        } else if self.borrowed.idle() > 0 {
+        if self.queue.waiting_tasks() > 0 {
+            self.request_slots();
+        } else if self.borrowed.idle_count() > 0 {
             self.borrowed.give_back_idle();
         }
         self.schedule_returns();
@@ -80,11 +80,11 @@
 
     /// Fails a job whose next task can't end in time or may not be started any more.
     /// Returns true if it did.
-    pub(super) fn cannot_start(&mut self, key: JobKey) -> bool {
+    pub(super) fn fail_if_unstartable(&mut self, key: JobKey) -> bool {
         let job = &self.jobs[&key];
-        let next = job.waiting.front().expect("the queue names waiting jobs");
+        let next = job.waiting.front().expect("a queued job has waiting tasks");
         let expected_ms = f64::from(job.tasks[*next as usize].expected_ms);
-        let needed_ms = expected_ms * f64::from(self.pace.ratio());
+        let needed_ms = expected_ms * f64::from(self.run_time_ratio.ratio());
         if self.now.plus_millis(needed_ms as u64) >= job.deadline {
             self.fail_job(key, FailureCause::DeadlinePassed);
             return true;
@@ -92,7 +92,7 @@
         let authority = job.authority;
         let limit = self
             .ownership
-            .begin_limit(authority.shard, authority.epoch, self.now);
+            .latest_start(authority.shard, authority.epoch, self.now);
         if limit.is_none() {
             self.fail_job(key, FailureCause::OwnerLost);
             return true;
@@ -111,37 +111,34 @@
         let targets = &self.targets;
         let can_take = |index| {
             let target = targets.get(index);
-            target.usable() && allowed(&target.hall)
+            target.is_usable() && allowed(&target.hall)
         };
-        let (target, loan) = self.borrowed.take(self.now, can_take)?;
+        let (target, loan) = self.borrowed.take_slot(self.now, can_take)?;
         Some((target, SlotSource::Loan(loan)))
     }
 
     /// Starts a job's next waiting task on a target.
     fn start(&mut self, key: JobKey, target: TargetIndex, source: SlotSource) {
-        let job = self
-            .jobs
-            .get_mut(&key)
-            .expect("the queue names running jobs");
+        let job = self.jobs.get_mut(&key).expect("a queued job exists");
         let index = job
             .waiting
             .pop_front()
-            .expect("the queue names jobs with waiting tasks");
+            .expect("a queued job has waiting tasks");
         job.advance(index, TaskEvent::Sent);
         let account = job.queue;
         let expected_ms = job.tasks[index as usize].expected_ms;
         if job.waiting.is_empty() {
             self.queue.remove_job(account, job.due, key);
         }
-        self.queue.task_leaves(account, expected_ms);
-        self.queue.slot_taken(account);
+        self.queue.remove_task(account, expected_ms);
+        self.queue.acquire_slot(account);
         let start = self.compose_start(key, index);
         let left_ms = start.latest_begin.millis_since(self.now);
         let skew_ms = self.settings.tuning.skew_ms;
-        let over_ms = left_ms + start.lease_ms + skew_ms;
-        let lease_past = self.now.plus_millis(over_ms);
-        let job = self.jobs.get_mut(&key).expect("just seen");
-        job.tasks[index as usize].lease_past = lease_past;
+        let lease_end_ms = left_ms + start.lease_ms + skew_ms;
+        let lease_expired_at = self.now.plus_millis(lease_end_ms);
+        let job = self.jobs.get_mut(&key).expect("looked up above");
+        job.tasks[index as usize].lease_expired_at = lease_expired_at;
         job.tasks[index as usize].target = Some(target);
         let running = RunningTask {
             job: key,
@@ -152,26 +149,26 @@
             source,
             expected_ms,
             sent: self.now,
-            lease_past,
-            asking: false,
-            stopped: false,
+            lease_expired_at,
+            queried: false,
+            stop_requested: false,
         };
         let repeatable = job.account.repeatable;
         let call = self.new_call();
         self.running.insert(call, running);
         self.budget.earn();
         if repeatable {
-            let pace = f64::from(self.pace.ratio()).max(1.0);
-            let usual_ms = (f64::from(expected_ms) * pace) as u64;
-            self.after(usual_ms * STRAGGLER_FACTOR, Timer::Straggler(call));
+            let ratio = f64::from(self.run_time_ratio.ratio()).max(1.0);
+            let usual_ms = (f64::from(expected_ms) * ratio) as u64;
+            self.set_timer_in(usual_ms * STRAGGLER_FACTOR, Timer::Straggler(call));
         }
-        let place = self.targets.get(target);
-        self.out.push(Action::Start {
+        let entry = self.targets.get(target);
+        self.actions.push(Action::Start {
             call,
-            target: place.name.clone(),
-            address: place.address.clone(),
+            target: entry.name.clone(),
+            address: entry.address.clone(),
             start: Box::new(start),
-            wait_ms: over_ms + ASK_WAIT_MS,
+            wait_ms: lease_end_ms + QUERY_TIMEOUT_MS,
         });
     }
 
@@ -182,7 +179,7 @@
         let authority = job.authority;
         let right = self
             .ownership
-            .begin_limit(authority.shard, authority.epoch, self.now);
+            .latest_start(authority.shard, authority.epoch, self.now);
         let mut latest_begin = self
             .now
             .plus_millis(tuning.begin_window_ms)
@@ -191,13 +188,13 @@
             let limit = right.expect("checked before the start");
             assert!(
                 limit >= self.now || !self.settings.safeguards.lapse_check,
-                "nothing is started under a lapsed right"
+                "nothing is started under an expired right"
             );
             latest_begin = latest_begin.min(limit);
         }
         let expected_ms = u64::from(job.tasks[index as usize].expected_ms);
-        let longest_ms = job.deadline.millis_since(self.now).max(LEAST_LEASE_MS);
-        let lease_ms = (expected_ms * tuning.lease_factor).clamp(LEAST_LEASE_MS, longest_ms);
+        let longest_ms = job.deadline.millis_since(self.now).max(MIN_LEASE_MS);
+        let lease_ms = (expected_ms * tuning.lease_factor).clamp(MIN_LEASE_MS, longest_ms);
         StartTask {
             task: job.task_id(index),
             shard: ShardId {
--- a/crates/entry-core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -19,27 +19,29 @@
 
 /// Suggested wait before a caller asks again about a pending or refused submission, in
 /// ms.
-pub(super) const ASK_AGAIN_MS: u64 = 500;
+pub(super) const RETRY_AFTER_MS: u64 = 500;
 
 impl Host {
     /// Routes a submission to the holder of its shard.
     pub(super) fn route(&mut self, waiter: Waiter, submission: Submission) {
         let shard = submission.id.shard(&submission.account);
         if shard.hall != self.settings.hall {
-            return self.pass_on(waiter, submission);
+            return self.forward_or_redirect(waiter, submission);
         }
         match self.ownership.state(shard.index) {
-            ShardState::Held | ShardState::Acting => self.own(waiter, submission, shard.index),
-            ShardState::HandingOver => self.handovers.park(shard.index, waiter, submission),
-            ShardState::Absent => self.pass_on(waiter, submission),
+            ShardState::Held | ShardState::Acting => {
+                self.handle_owned(waiter, submission, shard.index)
+            }
+            ShardState::HandingOver => self.handovers.defer(shard.index, waiter, submission),
+            ShardState::Absent => self.forward_or_redirect(waiter, submission),
         }
     }
 
     /// Forwards a caller's submission; replies to a peer with another address to try.
-    fn pass_on(&mut self, waiter: Waiter, submission: Submission) {
+    fn forward_or_redirect(&mut self, waiter: Waiter, submission: Submission) {
         match waiter {
             Waiter::Caller(_) => self.forward(waiter, submission),
-            Waiter::Peer(token) | Waiter::PeerAgain(token) => {
+            Waiter::Peer(token) | Waiter::PeerRetry(token) => {
                 let shard = submission.id.shard(&submission.account);
                 let candidates = self.directory.candidates(&shard);
                 let others = candidates.into_iter();
@@ -50,26 +52,26 @@
     }
 
     /// Handles a submission of a shard that this host holds or acts for.
-    pub(super) fn own(&mut self, waiter: Waiter, submission: Submission, shard: u16) {
+    pub(super) fn handle_owned(&mut self, waiter: Waiter, submission: Submission, shard: u16) {
         let key = EntryKey {
             account: submission.account.clone(),
             submission: submission.id.clone(),
         };
-        if self.settings.safeguards.ledger && self.answer_known(waiter, &key, &submission) {
+        if self.settings.safeguards.ledger && self.answer_from_ledger(waiter, &key, &submission) {
             return;
         }
         let Some(right) = self.ownership.right(shard, self.now) else {
-            let answer = self.unowned(waiter, &submission);
-            return self.turn_away(waiter, &submission, answer);
+            let answer = self.no_owner_answer(waiter, &submission);
+            return self.send_answer(waiter, &submission, answer);
         };
-        if let Some(answer) = self.too_old(&submission, right) {
-            self.record_end(key, shard, &submission, &answer);
+        if let Some(answer) = self.too_old_answer(&submission, right) {
+            self.record_final_answer(key, shard, &submission, &answer);
             return self.answer(waiter, answer);
         }
         if self.config.version() == 0 {
             let answer = Answer::Refused {
                 reason: Refusal::NotReady,
-                retry_after_ms: spread_ms(&mut self.rng, ASK_AGAIN_MS),
+                retry_after_ms: spread_ms(&mut self.rng, RETRY_AFTER_MS),
             };
             return self.refuse_new(waiter, shard, &submission, answer);
         }
@@ -80,7 +82,12 @@
     }
 
     /// Answers a submission from the ledger. Returns false if it has to be handled as new.
-    fn answer_known(&mut self, waiter: Waiter, key: &EntryKey, submission: &Submission) -> bool {
+    fn answer_from_ledger(
+        &mut self,
+        waiter: Waiter,
+        key: &EntryKey,
+        submission: &Submission,
+    ) -> bool {
         let Some(entry) = self.ledger.get_mut(key) else {
             return false;
         };
@@ -91,9 +98,9 @@
             }
             let answer = Answer::Refused {
                 reason: Refusal::Superseded,
-                retry_after_ms: spread_ms(&mut self.rng, ASK_AGAIN_MS),
+                retry_after_ms: spread_ms(&mut self.rng, RETRY_AFTER_MS),
             };
-            self.turn_away(waiter, submission, answer);
+            self.send_answer(waiter, submission, answer);
             return true;
         }
         if entry.digest != submission.digest() {
@@ -104,19 +111,19 @@
         entry.attempt = entry.attempt.max(submission.attempt);
         match &entry.state {
             EntryState::Refused => unreachable!("handled above"),
-            EntryState::Running(_) | EntryState::Elsewhere => entry.waiters.push(waiter),
+            EntryState::Running(_) | EntryState::RunsElsewhere => entry.waiters.push(waiter),
             EntryState::Ended(answer) => {
                 let answer = (**answer).clone();
                 self.answer(waiter, answer);
             }
         }
-        self.waste(Waste::Resubmitted);
+        self.note_wasted(Waste::Resubmitted);
         true
     }
 
     /// Returns the final answer to a submission that an earlier owner may have started, or
     /// whose id is too old to be started.
-    fn too_old(&self, submission: &Submission, right: Right) -> Option<Answer> {
+    fn too_old_answer(&self, submission: &Submission, right: Right) -> Option<Answer> {
         let created = submission.id.created();
         let failed = |cause| {
             Some(Answer::Failed {
@@ -135,7 +142,13 @@
     }
 
     /// Adds a final answer to the ledger.
-    fn record_end(&mut self, key: EntryKey, shard: u16, submission: &Submission, end: &Answer) {
+    fn record_final_answer(
+        &mut self,
+        key: EntryKey,
+        shard: u16,
+        submission: &Submission,
+        end: &Answer,
+    ) {
         let entry = Entry {
             shard,
             digest: submission.digest(),
@@ -169,11 +182,11 @@
             waiters: Vec::new(),
         };
         self.ledger.insert(key, entry);
-        self.turn_away(waiter, submission, answer);
+        self.send_answer(waiter, submission, answer);
     }
 
     /// Sends an answer to a submission that didn't become a job here, and counts refusals.
-    pub(super) fn turn_away(&mut self, waiter: Waiter, submission: &Submission, answer: Answer) {
+    pub(super) fn send_answer(&mut self, waiter: Waiter, submission: &Submission, answer: Answer) {
         if matches!(answer, Answer::Refused { .. }) {
             let account = submission.account.clone();
             self.note(Note::Refused { account });
@@ -183,9 +196,9 @@
 
     /// Returns the answer to a submission whose shard has no known owner. It is `not run`
     /// only if no earlier sending can have been started.
-    pub(super) fn unowned(&mut self, waiter: Waiter, submission: &Submission) -> Answer {
-        let retry_after_ms = spread_ms(&mut self.rng, ASK_AGAIN_MS);
-        if matches!(waiter, Waiter::PeerAgain(_)) || !self.is_first_sending(submission) {
+    pub(super) fn no_owner_answer(&mut self, waiter: Waiter, submission: &Submission) -> Answer {
+        let retry_after_ms = spread_ms(&mut self.rng, RETRY_AFTER_MS);
+        if matches!(waiter, Waiter::PeerRetry(_)) || !self.is_first_sending(submission) {
             return Answer::Pending { retry_after_ms };
         }
         let reason = if self.config.version() == 0 {
@@ -203,10 +216,10 @@
     /// as the first, and its id is too recent for a resend.
     fn is_first_sending(&self, submission: &Submission) -> bool {
         let tuning = &self.settings.tuning;
-        let doubt_ms = tuning.caller_skew_ms + tuning.skew_ms;
-        let young_ms = tuning.min_resend_ms.saturating_sub(doubt_ms);
-        let young = self.now <= submission.id.created().plus_millis(young_ms);
-        let first = submission.attempt == 0 && young;
+        let uncertainty_ms = tuning.caller_skew_ms + tuning.skew_ms;
+        let first_sending_ms = tuning.min_resend_ms.saturating_sub(uncertainty_ms);
+        let is_recent = self.now <= submission.id.created().plus_millis(first_sending_ms);
+        let first = submission.attempt == 0 && is_recent;
         first || !self.settings.safeguards.first_sending_check
     }
 }
--- a/crates/entry-core/src/host/follow.rs
+++ b/crates/entry-core/src/host/sync.rs
@@ -5,7 +5,7 @@
 use gannetridge_entry_wire::platform::{HostList, TableFailure, TableOp, TableResult};
 use gannetridge_wire::Name;
 
-use super::calls::Call;
+use super::calls::CallPurpose;
 use super::config_rows::{read_rows, Head};
 use super::Host;
 use crate::action::{Action, Note};
@@ -14,7 +14,7 @@
 use crate::settings::Placement;
 
 /// Timeout of the reply to a configuration pull, in ms.
-const PULL_WAIT_MS: u64 = 2_000;
+const PULL_TIMEOUT_MS: u64 = 2_000;
 
 impl Host {
     pub(super) fn on_head_read(&mut self, reply: Result<TableResult, TableFailure>) {
@@ -27,7 +27,7 @@
         let head: Result<Head, _> = serde_json::from_str(&row.value);
         if head.is_ok_and(|head| head.version > self.config.version()) {
             let prefix = CONFIG_PREFIX.into();
-            self.call_table(Call::ReadConfig, TableOp::Scan { prefix });
+            self.call_table(CallPurpose::ReadConfig, TableOp::Scan { prefix });
         }
     }
 
@@ -36,12 +36,12 @@
             return;
         };
         if let Some(read) = read_rows(&rows) {
-            self.put_in_force(read.snapshot);
+            self.apply_config(read.snapshot);
         }
     }
 
     /// Applies a configuration if it is newer than the one in force.
-    pub(super) fn put_in_force(&mut self, snapshot: ConfigSnapshot) {
+    pub(super) fn apply_config(&mut self, snapshot: ConfigSnapshot) {
         let before = self.config.version();
         let check = self.settings.safeguards.version_check;
         if !self.config.apply(snapshot, check) {
@@ -58,7 +58,7 @@
         let have = self.config.version();
         let want_list = self.targets.is_empty();
         let request = PeerRequest::ConfigPull { have, want_list };
-        self.call_peer(Call::ConfigPull, address, request, PULL_WAIT_MS);
+        self.call_peer(CallPurpose::ConfigPull, address, request, PULL_TIMEOUT_MS);
     }
 
     pub(super) fn on_config_pull(&mut self, token: Token, have: u64, want_list: bool) {
@@ -73,11 +73,11 @@
             return;
         };
         if let Some(snapshot) = snapshot {
-            self.put_in_force(snapshot);
+            self.apply_config(snapshot);
         }
         // The platform's list, once read, takes precedence over a peer's copy.
         if let (Some(list), true) = (list, self.targets.is_empty()) {
-            self.take_list(list);
+            self.apply_list(list);
         }
     }
 
@@ -86,23 +86,23 @@
         let by_usage = self.settings.tuning.placement == Placement::PowerOfTwo;
         let known = self.list.as_ref().filter(|_| !by_usage);
         let after = known.map_or(0, |list| list.version);
-        self.out.push(Action::ReadList { after });
+        self.actions.push(Action::ReadList { after });
     }
 
     /// Applies the platform's list, or the changes in it.
-    pub(super) fn take_list(&mut self, news: HostList) {
-        let mut news = news;
+    pub(super) fn apply_list(&mut self, update: HostList) {
+        let mut update = update;
         if !self.settings.safeguards.heed_leaving {
-            news.targets.iter_mut().for_each(|t| t.leaving = false);
+            update.targets.iter_mut().for_each(|t| t.leaving = false);
         }
-        let unchanged = news.is_unchanged();
+        let unchanged = update.is_unchanged();
         let list = self.list.get_or_insert_default();
-        list.merge(news);
+        list.merge(update);
         // Even an unchanged list can override an older report that a target is leaving.
         if unchanged && !self.targets.any_leaving() {
             return;
         }
         let lag_ms = self.settings.tuning.list_lag_ms;
-        self.targets.listed(list, self.now, lag_ms);
+        self.targets.apply_list(list, self.now, lag_ms);
     }
 }
--- a/crates/entry-core/src/host/timers.rs
+++ b/crates/entry-core/src/host/timers.rs
@@ -6,7 +6,7 @@
 use gannetridge_entry_wire::Time;
 use rand::Rng;
 
-use super::calls::Call;
+use super::calls::CallPurpose;
 use super::Host;
 use crate::config_store::CONFIG_HEAD;
 use crate::event::CallId;
@@ -29,11 +29,11 @@
     PollHalls,
     Housekeeping,
     FlushReturns,
-    QuestionsOver,
+    BorrowRequestsExpired,
     Unblock(TargetIndex),
     JobDeadline(JobKey),
     Requeue(JobKey, u32),
-    Ask(CallId),
+    Query(CallId),
     Straggler(CallId),
     Forward(u64),
     Handover,
@@ -81,19 +81,19 @@
         self.timers.set(now, Timer::PollList);
         self.timers.set(now, Timer::PollHalls);
         self.timers.set(now, Timer::Heartbeat);
-        self.after(HOUSEKEEPING_MS, Timer::Housekeeping);
+        self.set_timer_in(HOUSEKEEPING_MS, Timer::Housekeeping);
     }
 
     /// Sets a timer that is due in `ms`.
-    pub(super) fn after(&mut self, ms: u64, timer: Timer) {
+    pub(super) fn set_timer_in(&mut self, ms: u64, timer: Timer) {
         self.timers.set(self.now.plus_millis(ms), timer);
     }
 
     /// Sets a periodic timer with random jitter, so that hosts that were started together
     /// don't stay synchronised.
-    fn again(&mut self, ms: u64, timer: Timer) {
+    fn set_periodic_timer(&mut self, ms: u64, timer: Timer) {
         let jitter = self.rng.random_range(0..=ms / 10);
-        self.after(ms - ms / 20 + jitter, timer);
+        self.set_timer_in(ms - ms / 20 + jitter, timer);
     }
 
     pub(super) fn run_timers(&mut self) {
@@ -106,38 +106,38 @@
         let tuning = &self.settings.tuning;
         match timer {
             Timer::Renew => {
-                self.again(tuning.renew_ms, Timer::Renew);
+                self.set_periodic_timer(tuning.renew_ms, Timer::Renew);
                 self.read_row();
             }
             Timer::ReadRow => self.read_row(),
             Timer::Heartbeat => {
-                self.again(tuning.heartbeat_ms, Timer::Heartbeat);
+                self.set_periodic_timer(tuning.heartbeat_ms, Timer::Heartbeat);
                 self.send_heartbeats();
             }
             Timer::PollConfig => {
-                self.again(tuning.config_poll_ms, Timer::PollConfig);
+                self.set_periodic_timer(tuning.config_poll_ms, Timer::PollConfig);
                 let key = CONFIG_HEAD.into();
-                self.call_table(Call::ReadHead, TableOp::Get { key });
+                self.call_table(CallPurpose::ReadHead, TableOp::Get { key });
             }
             Timer::PollList => {
-                self.again(tuning.list_poll_ms, Timer::PollList);
+                self.set_periodic_timer(tuning.list_poll_ms, Timer::PollList);
                 self.read_list();
             }
             Timer::PollHalls => {
-                self.again(HALLS_POLL_MS, Timer::PollHalls);
+                self.set_periodic_timer(HALLS_POLL_MS, Timer::PollHalls);
                 self.poll_halls();
             }
             Timer::Housekeeping => {
-                self.after(HOUSEKEEPING_MS, Timer::Housekeeping);
-                self.keep_house();
+                self.set_timer_in(HOUSEKEEPING_MS, Timer::Housekeeping);
+                self.run_housekeeping();
             }
             Timer::StopLimit => {}
             Timer::FlushReturns => self.flush_returns(),
-            Timer::QuestionsOver => self.end_questions(),
+            Timer::BorrowRequestsExpired => self.answer_expired_borrow_requests(),
             Timer::Unblock(target) => self.targets.update(target, |t| t.blocked -= 1),
             Timer::JobDeadline(job) => self.on_job_deadline(job),
             Timer::Requeue(job, index) => self.requeue(job, index),
-            Timer::Ask(call) => self.ask(call),
+            Timer::Query(call) => self.query_run(call),
             Timer::Straggler(call) => self.on_straggler(call),
             Timer::Forward(forward) => self.forward_again(forward),
             Timer::Handover => self.continue_handover(),
@@ -147,13 +147,13 @@
     }
 
     /// Runs the periodic maintenance.
-    fn keep_house(&mut self) {
-        self.targets.revive(self.now);
+    fn run_housekeeping(&mut self) {
+        self.targets.probe_due_targets(self.now);
         self.lent.reclaim(&mut self.targets, self.now);
-        self.ledger.sweep(self.now);
-        self.end_overdue_elsewhere();
+        self.ledger.remove_expired(self.now);
+        self.fail_overdue_elsewhere();
         self.divide_targets();
         self.refresh_quotas();
-        self.offer_next();
+        self.start_next_handover();
     }
 }
--- a/crates/entry-core/src/host/updates.rs
+++ b/crates/entry-core/src/host/updates.rs
@@ -8,7 +8,7 @@
 use gannetridge_entry_wire::peer::{LedgerRecord, PeerReply, PeerRequest};
 use gannetridge_entry_wire::{Answer, FailureCause, Ran};
 
-use super::calls::Call;
+use super::calls::CallPurpose;
 use super::handover::HANDOVER_RETRY_MS;
 use super::timers::Timer;
 use super::Host;
@@ -21,7 +21,7 @@
 /// Wait before an update is sent again, in ms.
 const UPDATE_RETRY_MS: u64 = 200;
 /// Largest number of attempts to send an update.
-const MOST_UPDATES: u32 = 10;
+const MAX_UPDATE_ATTEMPTS: u32 = 10;
 /// Time after its deadline at which a job that runs elsewhere is failed, in ms.
 const ELSEWHERE_GRACE_MS: u64 = 3_000;
 
@@ -30,12 +30,12 @@
 pub(super) struct PendingUpdate {
     records: Vec<LedgerRecord>,
     /// The number of records, from the front, in the update in flight.
-    sending: usize,
+    in_flight: usize,
 }
 
 impl Host {
     /// Reports the end of a job to the new holder of its shard, if there is one.
-    pub(super) fn tell_heir(&mut self, job: &Job, answer: &Answer) {
+    pub(super) fn report_job_end(&mut self, job: &Job, answer: &Answer) {
         let record = LedgerRecord {
             account: job.entry.account.clone(),
             submission: job.entry.submission.clone(),
@@ -49,13 +49,13 @@
 
     /// Adds a record for a shard's new holder, if there is one, and plans its sending.
     pub(super) fn queue_update(&mut self, shard: u16, record: LedgerRecord) {
-        if !self.is_handing_over(shard) && !self.handovers.heirs.contains_key(&shard) {
+        if !self.is_handing_over(shard) && !self.handovers.new_holders.contains_key(&shard) {
             return;
         }
         let update = self.handovers.updates.entry(shard).or_default();
         update.records.push(record);
-        if update.sending == 0 {
-            self.after(0, Timer::Update(shard, 0));
+        if update.in_flight == 0 {
+            self.set_timer_in(0, Timer::Update(shard, 0));
         }
     }
 
@@ -63,22 +63,22 @@
     /// attempts, or if there is no new holder.
     pub(super) fn send_update(&mut self, shard: u16, tries: u32) {
         if self.is_handing_over(shard) {
-            return self.after(HANDOVER_RETRY_MS, Timer::Update(shard, tries));
+            return self.set_timer_in(HANDOVER_RETRY_MS, Timer::Update(shard, tries));
         }
-        let heir = self.handovers.heirs.get(&shard).cloned();
-        let (Some(address), true) = (heir, tries < MOST_UPDATES) else {
+        let new_holder = self.handovers.new_holders.get(&shard).cloned();
+        let (Some(address), true) = (new_holder, tries < MAX_UPDATE_ATTEMPTS) else {
             self.handovers.updates.remove(&shard);
             return;
         };
         let Some(update) = self.handovers.updates.get_mut(&shard) else {
             return;
         };
-        if update.sending > 0 || update.records.is_empty() {
+        if update.in_flight > 0 || update.records.is_empty() {
             return;
         }
-        update.sending = update.records.len();
+        update.in_flight = update.records.len();
         let records = update.records.clone();
-        let purpose = Call::Update { shard, tries };
+        let purpose = CallPurpose::Update { shard, tries };
         let request = PeerRequest::Update { records };
         self.call_peer(purpose, address, request, UPDATE_WAIT_MS);
     }
@@ -92,20 +92,20 @@
         let Some(update) = self.handovers.updates.get_mut(&shard) else {
             return;
         };
-        let sent = std::mem::take(&mut update.sending);
+        let sent = std::mem::take(&mut update.in_flight);
         if reply != Ok(PeerReply::Done) {
-            return self.after(UPDATE_RETRY_MS, Timer::Update(shard, tries + 1));
+            return self.set_timer_in(UPDATE_RETRY_MS, Timer::Update(shard, tries + 1));
         }
         update.records.drain(..sent);
         if update.records.is_empty() {
             self.handovers.updates.remove(&shard);
         } else {
-            self.after(0, Timer::Update(shard, 0));
+            self.set_timer_in(0, Timer::Update(shard, 0));
         }
     }
 
     /// Fails submissions whose job ran at another host and is long past its deadline.
-    pub(super) fn end_overdue_elsewhere(&mut self) {
+    pub(super) fn fail_overdue_elsewhere(&mut self) {
         let before = self.now.minus_millis(ELSEWHERE_GRACE_MS);
         for key in self.ledger.overdue_elsewhere(before) {
             let answer = Answer::Failed {
--- a/crates/entry-core/src/job.rs
+++ b/crates/entry-core/src/job.rs
@@ -25,9 +25,9 @@
     /// The target that the current run was sent to.
     pub target: Option<TargetIndex>,
     /// The time after which the lease of the current run has expired on every clock.
-    pub lease_past: Time,
+    pub lease_expired_at: Time,
     /// The number of status queries about the current run.
-    pub asked: u32,
+    pub status_queries: u32,
     /// The number of retries that count against the task's limit.
     pub retries: u32,
     /// The output that the target returned.
@@ -91,11 +91,11 @@
     /// Indices of waiting tasks, the longest first; requeued ones are in front.
     pub waiting: VecDeque<u32>,
     /// The number of tasks without an output so far.
-    pub open: usize,
+    pub unfinished: usize,
     /// The longest reported run time of a task, in ms.
     pub slowest_ms: u64,
     /// True once a task is known, or has to be assumed, to have run.
-    pub ran: bool,
+    pub has_run: bool,
 }
 
 impl Job {
@@ -116,8 +116,8 @@
             run: 0,
             expected_ms: expected.unwrap_or(expected_ms).max(1),
             target: None,
-            lease_past: Time::ZERO,
-            asked: 0,
+            lease_expired_at: Time::ZERO,
+            status_queries: 0,
             retries: 0,
             output: None,
         };
@@ -133,13 +133,13 @@
             accepted: now,
             deadline: submission.deadline(),
             due: now,
-            open: tasks.len(),
+            unfinished: tasks.len(),
             tasks,
             waiting: order.into(),
             submission,
             parameters,
             slowest_ms: 0,
-            ran: false,
+            has_run: false,
         }
     }
 
@@ -164,7 +164,7 @@
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         let idle = |t: &Task| matches!(t.state, TaskState::Queued | TaskState::Dropped);
-        self.ran || !self.tasks.iter().all(idle)
+        self.has_run || !self.tasks.iter().all(idle)
     }
 
     /// Returns the expected run time of all tasks together, in ms of one slot.
@@ -190,8 +190,8 @@
     pub fn finish_task(&mut self, index: u32, output: String, ran_ms: u64) {
         self.advance(index, TaskEvent::Done);
         self.tasks[index as usize].output = Some(output);
-        self.open -= 1;
-        self.ran = true;
+        self.unfinished -= 1;
+        self.has_run = true;
         self.slowest_ms = self.slowest_ms.max(ran_ms);
     }
 
@@ -206,10 +206,10 @@
         assert_eq!(
             task.state,
             TaskState::Queued,
-            "only a proved end allows another run"
+            "a task is requeued only after its run has ended or never started"
         );
         task.run += 1;
-        task.asked = 0;
+        task.status_queries = 0;
         task.target = None;
         self.waiting.push_front(index);
     }
@@ -226,7 +226,7 @@
             assert_eq!(
                 task.state,
                 TaskState::Done,
-                "a complete answer has every task"
+                "a complete answer contains every task"
             );
             let output = task
                 .output
--- a/crates/entry-core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -21,7 +21,7 @@
     /// A peer that forwarded the submission for its caller.
     Peer(Token),
     /// A peer that forwarded the submission before and doesn't know the outcome.
-    PeerAgain(Token),
+    PeerRetry(Token),
 }
 
 /// The state of a submission.
@@ -30,7 +30,7 @@
     /// The job runs on this host.
     Running(JobKey),
     /// The job runs at the host that handed its shard over, until its deadline.
-    Elsewhere,
+    RunsElsewhere,
     /// The job ended with this final answer.
     Ended(Arc<Answer>),
     /// The submission was refused as not run. This covers all sendings up to the
@@ -121,19 +121,19 @@
 
     /// Removes entries that are past their retention and deadline, except those of jobs
     /// that still run.
-    pub fn sweep(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         let step = now.as_millis() / EXPIRY_STEP_MS;
         while let Some(first) = self.by_expiry.first_entry() {
             if *first.key() > step {
                 break;
             }
             for key in first.remove() {
-                self.forget(key, step);
+                self.remove_if_ended(key, step);
             }
         }
     }
 
-    fn forget(&mut self, key: EntryKey, step: u64) {
+    fn remove_if_ended(&mut self, key: EntryKey, step: u64) {
         let Some(entry) = self.entries.get(&key) else {
             return;
         };
@@ -151,7 +151,7 @@
             .entries
             .iter()
             .filter(|(_, entry)| entry.shard == shard);
-        let mut records: Vec<_> = of_shard.map(|(key, entry)| record(key, entry)).collect();
+        let mut records: Vec<_> = of_shard.map(|(key, entry)| to_record(key, entry)).collect();
         records.sort_by(|a, b| a.submission.cmp(&b.submission));
         records
     }
@@ -169,20 +169,20 @@
         };
         let answer = record.answer.map(Arc::new);
         if let Some(entry) = self.entries.get_mut(&key) {
-            let ended = matches!(entry.state, EntryState::Running(_) | EntryState::Ended(_));
+            let is_settled = matches!(entry.state, EntryState::Running(_) | EntryState::Ended(_));
             let older = entry.state.is_refused() && record.attempt <= entry.attempt;
-            if ended || older {
+            if is_settled || older {
                 return None;
             }
             entry.attempt = entry.attempt.max(record.attempt);
             let Some(answer) = answer else {
                 // A later sending than the refused one runs at the sender.
-                entry.state = EntryState::Elsewhere;
+                entry.state = EntryState::RunsElsewhere;
                 entry.digest = record.digest;
                 return Some(Vec::new());
             };
             let waiters = std::mem::take(&mut entry.waiters);
-            entry.state = state_of(answer.clone());
+            entry.state = state_for(answer.clone());
             entry.digest = record.digest;
             let answers = waiters.into_iter().map(|w| (w, answer.clone()));
             return Some(answers.collect());
@@ -190,7 +190,7 @@
         let entry = Entry {
             shard,
             digest: record.digest,
-            state: answer.map_or(EntryState::Elsewhere, state_of),
+            state: answer.map_or(EntryState::RunsElsewhere, state_for),
             attempt: record.attempt,
             deadline: record.deadline,
             waiters: Vec::new(),
@@ -204,7 +204,7 @@
     #[must_use]
     pub fn overdue_elsewhere(&self, before: Time) -> Vec<EntryKey> {
         let overdue = |(_, entry): &(&EntryKey, &Entry)| {
-            matches!(entry.state, EntryState::Elsewhere) && entry.deadline < before
+            matches!(entry.state, EntryState::RunsElsewhere) && entry.deadline < before
         };
         let mut keys: Vec<_> = self
             .entries
@@ -217,7 +217,7 @@
     }
 }
 
-fn state_of(answer: Arc<Answer>) -> EntryState {
+fn state_for(answer: Arc<Answer>) -> EntryState {
     if answer.is_final() {
         EntryState::Ended(answer)
     } else {
@@ -225,10 +225,10 @@
     }
 }
 
-fn record(key: &EntryKey, entry: &Entry) -> LedgerRecord {
+fn to_record(key: &EntryKey, entry: &Entry) -> LedgerRecord {
     let answer = match &entry.state {
         EntryState::Ended(answer) => Some((**answer).clone()),
-        EntryState::Running(_) | EntryState::Elsewhere => None,
+        EntryState::Running(_) | EntryState::RunsElsewhere => None,
         EntryState::Refused => Some(Answer::Refused {
             reason: Refusal::Superseded,
             retry_after_ms: 0,
--- a/crates/entry-core/src/loans.rs
+++ b/crates/entry-core/src/loans.rs
@@ -13,7 +13,7 @@
 use crate::targets::{TargetIndex, Targets};
 
 /// Time after a loan's end at which the lender reclaims slots not yet returned, in ms.
-const OVERDUE_MS: u64 = 10_000;
+const RECLAIM_DELAY_MS: u64 = 10_000;
 
 /// Identifies a loan at the borrower.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -26,19 +26,19 @@
 
 /// A borrowed slot that no task occupies.
 #[derive(Clone, Debug)]
-struct Credit {
+struct IdleSlot {
     key: LoanKey,
     target: TargetIndex,
 }
 
 /// A loan at the borrower.
 #[derive(Debug)]
-struct Borrowed {
+struct BorrowedLoan {
     until: Time,
     /// Slots not yet given back.
     outstanding: u32,
     /// True once a task has occupied one of the slots.
-    used: bool,
+    was_used: bool,
     /// Slots given back so far, by target.
     returned: BTreeMap<TargetIndex, u32>,
     /// True if `returned` has changed since it was last reported to the lender.
@@ -48,10 +48,10 @@
 /// Slots borrowed from peers.
 #[derive(Debug, Default)]
 pub struct BorrowedSlots {
-    loans: BTreeMap<LoanKey, Borrowed>,
-    credits: VecDeque<Credit>,
+    loans: BTreeMap<LoanKey, BorrowedLoan>,
+    idle_slots: VecDeque<IdleSlot>,
     /// True while a flush is planned.
-    flush_due: bool,
+    flush_planned: bool,
 }
 
 /// The slots of a loan that were given back, for a report to the lender.
@@ -72,16 +72,16 @@
         for (target, count) in slots {
             for _ in 0..*count {
                 let key = key.clone();
-                self.credits.push_back(Credit {
+                self.idle_slots.push_back(IdleSlot {
                     key,
                     target: *target,
                 });
             }
         }
-        let borrowed = Borrowed {
+        let borrowed = BorrowedLoan {
             until,
             outstanding,
-            used: false,
+            was_used: false,
             returned: BTreeMap::new(),
             changed: false,
         };
@@ -90,28 +90,28 @@
 
     /// Returns the number of slots that no task occupies.
     #[must_use]
-    pub fn idle(&self) -> usize {
-        self.credits.len()
+    pub fn idle_count(&self) -> usize {
+        self.idle_slots.len()
     }
 
     /// Takes an unoccupied slot for a task. Slots of expired loans are given back.
-    pub fn take(
+    pub fn take_slot(
         &mut self,
         now: Time,
         can_take: impl Fn(TargetIndex) -> bool,
     ) -> Option<(TargetIndex, LoanKey)> {
-        for _ in 0..self.credits.len() {
-            let credit = self.credits.pop_front()?;
-            let over = self.loans.get(&credit.key).is_none_or(|l| now >= l.until);
-            if over {
-                self.give_back(&credit.key, credit.target);
-            } else if can_take(credit.target) {
-                if let Some(loan) = self.loans.get_mut(&credit.key) {
-                    loan.used = true;
+        for _ in 0..self.idle_slots.len() {
+            let slot = self.idle_slots.pop_front()?;
+            let expired = self.loans.get(&slot.key).is_none_or(|l| now >= l.until);
+            if expired {
+                self.give_back(&slot.key, slot.target);
+            } else if can_take(slot.target) {
+                if let Some(loan) = self.loans.get_mut(&slot.key) {
+                    loan.was_used = true;
                 }
-                return Some((credit.target, credit.key));
+                return Some((slot.target, slot.key));
             } else {
-                self.credits.push_back(credit);
+                self.idle_slots.push_back(slot);
             }
         }
         None
@@ -120,9 +120,9 @@
     /// Releases a slot after its task has ended. The slot is kept for another task if
     /// `keep` is set and the loan hasn't expired.
     pub fn release(&mut self, key: LoanKey, target: TargetIndex, keep: bool, now: Time) {
-        let running = self.loans.get(&key).is_some_and(|l| now < l.until);
-        if keep && running {
-            self.credits.push_back(Credit { key, target });
+        let is_valid = self.loans.get(&key).is_some_and(|l| now < l.until);
+        if keep && is_valid {
+            self.idle_slots.push_back(IdleSlot { key, target });
         } else {
             self.give_back(&key, target);
         }
@@ -130,8 +130,8 @@
 
     /// Gives back all slots that no task occupies.
     pub fn give_back_idle(&mut self) {
-        for credit in std::mem::take(&mut self.credits) {
-            self.give_back(&credit.key, credit.target);
+        for slot in std::mem::take(&mut self.idle_slots) {
+            self.give_back(&slot.key, slot.target);
         }
     }
 
@@ -145,8 +145,8 @@
 
     /// Returns the reports that are due to lenders, and removes loans whose slots were
     /// all given back.
-    pub fn flush(&mut self) -> Vec<LoanReturn> {
-        self.flush_due = false;
+    pub fn take_returns(&mut self) -> Vec<LoanReturn> {
+        self.flush_planned = false;
         let mut returns = Vec::new();
         for (key, loan) in &mut self.loans {
             if std::mem::take(&mut loan.changed) {
@@ -154,7 +154,7 @@
                 returns.push(LoanReturn {
                     key: key.clone(),
                     returned,
-                    unused: loan.outstanding == 0 && !loan.used,
+                    unused: loan.outstanding == 0 && !loan.was_used,
                 });
             }
         }
@@ -164,17 +164,17 @@
 
     /// Returns true if a flush has to be planned; after that, false until the next flush.
     pub fn needs_flush(&mut self) -> bool {
-        let changed = !self.flush_due && self.loans.values().any(|loan| loan.changed);
-        self.flush_due |= changed;
+        let changed = !self.flush_planned && self.loans.values().any(|loan| loan.changed);
+        self.flush_planned |= changed;
         changed
     }
 }
 
 /// A loan at the lender.
 #[derive(Debug)]
-struct Lent {
+struct LentLoan {
     /// The time at which slots not yet returned are reclaimed.
-    overdue: Time,
+    reclaim_at: Time,
     slots: Vec<LentSlots>,
 }
 
@@ -187,12 +187,12 @@
 
 /// Slots lent to peers.
 #[derive(Debug, Default)]
-pub struct LentOut {
-    loans: BTreeMap<u64, Lent>,
-    last: u64,
+pub struct LentLoans {
+    loans: BTreeMap<u64, LentLoan>,
+    last_number: u64,
 }
 
-impl LentOut {
+impl LentLoans {
     /// Lends up to `count` free slots until `until`; `choose` selects the target of each.
     /// Returns the loan's number and the slots lent.
     pub fn lend(
@@ -208,7 +208,7 @@
             targets.update(target, |t| t.lent += 1);
             *slots.entry(target).or_default() += 1;
         }
-        self.last += 1;
+        self.last_number += 1;
         let grants = slots.iter().map(|(target, count)| Grant {
             target: targets.get(*target).name.clone(),
             count: *count,
@@ -220,18 +220,18 @@
                 count,
                 returned: 0,
             };
-            let loan = Lent {
-                overdue: until.plus_millis(OVERDUE_MS),
+            let loan = LentLoan {
+                reclaim_at: until.plus_millis(RECLAIM_DELAY_MS),
                 slots: slots.into_iter().map(lent).collect(),
             };
-            self.loans.insert(self.last, loan);
+            self.loans.insert(self.last_number, loan);
         }
-        (self.last, grants)
+        (self.last_number, grants)
     }
 
     /// Records slots that a borrower gave back. `returned` contains the total since the
     /// start of the loan, so a repeated or late message does no harm.
-    pub fn returned(&mut self, targets: &mut Targets, loan: u64, returned: &[Grant]) {
+    pub fn record_returns(&mut self, targets: &mut Targets, loan: u64, returned: &[Grant]) {
         let Some(lent) = self.loans.get_mut(&loan) else {
             return;
         };
@@ -243,9 +243,9 @@
                 continue;
             };
             let total = grant.count.min(slots.count);
-            let fresh = total.saturating_sub(slots.returned);
-            slots.returned += fresh;
-            targets.update(index, |t| t.lent -= fresh);
+            let newly_returned = total.saturating_sub(slots.returned);
+            slots.returned += newly_returned;
+            targets.update(index, |t| t.lent -= newly_returned);
         }
         if lent.slots.iter().all(|s| s.returned == s.count) {
             self.loans.remove(&loan);
@@ -255,7 +255,7 @@
     /// Reclaims the slots of loans that are overdue.
     pub fn reclaim(&mut self, targets: &mut Targets, now: Time) {
         self.loans.retain(|_, lent| {
-            if now < lent.overdue {
+            if now < lent.reclaim_at {
                 return true;
             }
             for slots in &lent.slots {
--- a/crates/entry-core/src/ownership/handing.rs
+++ b/crates/entry-core/src/ownership/handover.rs
@@ -9,25 +9,25 @@
 use gannetridge_entry_wire::peer::{Handover, LedgerRecord, Taker, TakerPromise};
 use gannetridge_entry_wire::{HostId, Time};
 
-use super::{Acceptance, HolderLease, Ownership};
+use super::{HandoverDecision, HolderLease, Ownership};
 use crate::charts::{ShardEvent, ShardState, SHARD};
 
 impl Ownership {
     /// Returns a shard to hand over and the peer that should get it: to balance the number
     /// of shards per host, or to get rid of all when this host is stopping.
     #[must_use]
-    pub fn surplus(&self, now: Time) -> Option<(u16, Member)> {
-        let shard = self.first_to_give()?;
-        if !self.stopping && !self.has_let_all_in() {
+    pub fn next_handover(&self, now: Time) -> Option<(u16, Member)> {
+        let shard = self.first_transferable_shard()?;
+        if !self.stopping && !self.all_members_may_take_over() {
             return None;
         }
-        let stays = |m: &Member| !self.is_ended(m) && !self.resigned.contains(&m.id);
-        let alive = |m: &&Member| m.until >= now && stays(m);
+        let is_available = |m: &Member| !self.has_member_ended(m) && !self.resigned.contains(&m.id);
+        let alive = |m: &&Member| m.until >= now && is_available(m);
         let others = self
             .row
             .members
             .iter()
-            .filter(|m| m.id != self.me)
+            .filter(|m| m.id != self.own_id)
             .filter(alive);
         let to = others.min_by_key(|m| self.row.shard_count(&m.id))?;
         let mine = self.held().len();
@@ -38,16 +38,16 @@
     /// Returns true if the row lets every member take over from this host. While a
     /// handover is unsettled, members that joined since are kept from that, so no handover
     /// may be started before.
-    pub(super) fn has_let_all_in(&self) -> bool {
+    pub(super) fn all_members_may_take_over(&self) -> bool {
         let newest = self.row.members.iter().map(|m| m.joined).max();
-        let mine = self.row.member(&self.me);
+        let mine = self.row.member(&self.own_id);
         mine.is_some_and(|m| Some(m.renewed) >= newest)
     }
 
     /// Returns the first shard that may be handed over. A shard that a write in progress
     /// claims is excluded, since its epoch may change at any moment.
     #[must_use]
-    pub fn first_to_give(&self) -> Option<u16> {
+    pub fn first_transferable_shard(&self) -> Option<u16> {
         let shards = self.shards.iter().enumerate();
         let mut free = shards.filter(|(i, s)| {
             let claimed = self.is_claimed(*i as u16);
@@ -63,33 +63,33 @@
     /// # Panics
     ///
     /// Panics if this host doesn't hold or act for the shard, or has no lease for it.
-    pub fn offer(
+    pub fn start_handover(
         &mut self,
         shard: u16,
         to: HostId,
         records: Vec<LedgerRecord>,
         now: Time,
     ) -> Handover {
-        self.serial += 1;
+        self.last_serial += 1;
         let local = &mut self.shards[usize::from(shard)];
         SHARD.advance(&mut local.state, ShardEvent::Offered);
         let local = local.clone();
         let lease = &self.leases[&local.holder];
-        let heir_until = self.heir_promise(lease, now);
+        let heir_until = self.later_incarnation_promise(lease, now);
         // Promises received after the expiry don't restore the right, and a later
         // incarnation of the holder is bound by `heir_until` only.
-        let passed_on = lease.table_until.max(heir_until);
+        let transferable_until = lease.table_until.max(heir_until);
         let lapsed = lease.lapsed || local.lapsed;
         let valid_until = if lapsed {
             Time::ZERO
         } else {
-            lease.valid_until.min(passed_on)
+            lease.valid_until.min(transferable_until)
         };
         self.offered_until = self.offered_until.max(lease.table_until.max(heir_until));
         Handover {
             to,
-            from: self.me.clone(),
-            serial: self.serial,
+            from: self.own_id.clone(),
+            serial: self.last_serial,
             shard,
             holder: local.holder.clone(),
             holder_address: self.taker(&local.holder).address,
@@ -108,7 +108,7 @@
 
     /// Returns a possible successor with its known address.
     fn taker(&self, id: &HostId) -> Taker {
-        let address = self.runs.address(id).cloned();
+        let address = self.incarnations.address(id).cloned();
         Taker {
             id: id.clone(),
             // With an empty address the receiver can't detect that the host has ended.
@@ -118,13 +118,16 @@
 
     /// Returns the time before which no later incarnation of the holder takes its shards
     /// over: each waits for the duration of a lease after its start.
-    pub(super) fn heir_promise(&self, lease: &HolderLease, now: Time) -> Time {
+    pub(super) fn later_incarnation_promise(&self, lease: &HolderLease, now: Time) -> Time {
         lease.heir_until.min(now.plus_millis(self.tuning.lease_ms))
     }
 
     /// Returns the promises received for a holder's shards.
     pub(super) fn promises_for(&self, holder: &HostId) -> Vec<TakerPromise> {
-        let promises = self.promises.iter().filter(|((h, _), _)| h == holder);
+        let promises = self
+            .promises_received
+            .iter()
+            .filter(|((h, _), _)| h == holder);
         let promise = |((_, taker), until): (&(HostId, HostId), &Time)| TakerPromise {
             taker: taker.clone(),
             until: *until,
@@ -133,18 +136,18 @@
     }
 
     /// Returns true if a holder was an earlier incarnation of this host.
-    fn is_earlier_run(&self, holder: &HostId) -> bool {
-        let here = self.runs.address(holder) == Some(&self.address);
-        here && holder.name == self.me.name && holder.incarnation < self.me.incarnation
+    fn is_own_earlier_incarnation(&self, holder: &HostId) -> bool {
+        let here = self.incarnations.address(holder) == Some(&self.address);
+        here && holder.name == self.own_id.name && holder.incarnation < self.own_id.incarnation
     }
 
     /// Records that the peer declined; the shard returns to this host.
-    pub fn declined(&mut self, shard: u16) {
+    pub fn handover_declined(&mut self, shard: u16) {
         let local = &mut self.shards[usize::from(shard)];
         if local.state != ShardState::HandingOver {
             return;
         }
-        let event = if local.holder == self.me {
+        let event = if local.holder == self.own_id {
             ShardEvent::DeclinedHeld
         } else {
             ShardEvent::DeclinedActing
@@ -153,43 +156,43 @@
     }
 
     /// Records that the peer accepted, or that it may have.
-    pub fn passed(&mut self, handover: &Handover) {
+    pub fn handover_completed(&mut self, handover: &Handover) {
         let local = &mut self.shards[usize::from(handover.shard)];
         if local.state != ShardState::HandingOver {
             return;
         }
         SHARD.advance(&mut local.state, ShardEvent::Passed);
-        local.passed = local.holder == self.me;
+        local.passed = local.holder == self.own_id;
     }
 
     /// Decides on a handover received from a peer.
-    pub fn accept(&mut self, handover: &Handover, now: Time) -> Acceptance {
-        self.touch(now);
+    pub fn receive_handover(&mut self, handover: &Handover, now: Time) -> HandoverDecision {
+        self.expire_rights(now);
         let once = self.safeguards.handover_once;
-        if once && handover.to != self.me {
-            return Acceptance::NotAddressee;
+        if once && handover.to != self.own_id {
+            return HandoverDecision::NotAddressee;
         }
         let key = (handover.from.clone(), handover.serial);
-        let known = self.offers.get(&key).copied();
+        let known = self.handover_decisions.get(&key).copied();
         if let (true, Some(known)) = (once, known) {
-            return known.repeated();
+            return known.for_copy();
         }
-        let acceptance = self.accept_new(handover, now);
-        self.offers.insert(key, acceptance);
-        acceptance
+        let decision = self.decide_new(handover, now);
+        self.handover_decisions.insert(key, decision);
+        decision
     }
 
     /// Decides on a handover that wasn't received before.
-    pub(super) fn accept_new(&mut self, handover: &Handover, now: Time) -> Acceptance {
+    pub(super) fn decide_new(&mut self, handover: &Handover, now: Time) -> HandoverDecision {
         let shard = usize::from(handover.shard);
         let row = self.row.shards.get(shard);
-        let moved_on = self.known && row.is_some_and(|r| r.epoch > handover.epoch);
+        let is_superseded = self.row_known && row.is_some_and(|r| r.epoch > handover.epoch);
         let free = self
             .shards
             .get(shard)
             .is_some_and(|s| s.state == ShardState::Absent);
-        if self.stopping || !free || moved_on {
-            return Acceptance::Declined;
+        if self.stopping || !free || is_superseded {
+            return HandoverDecision::Declined;
         }
         let local = &mut self.shards[shard];
         SHARD.advance(&mut local.state, ShardEvent::Accepted);
@@ -198,28 +201,29 @@
         local.fence = handover.fence;
         local.cutoff = handover.cutoff;
         local.passed = false;
-        self.act_for(handover, now);
+        self.adopt_holder_lease(handover, now);
         let lapsed = self.leases[&handover.holder].lapsed;
         self.shards[shard].lapsed = lapsed || now > handover.valid_until;
-        Acceptance::Accepted
+        HandoverDecision::Accepted
     }
 
     /// Adds the lease of the holder that this host acts for, or extends it.
-    pub(super) fn act_for(&mut self, handover: &Handover, now: Time) {
+    pub(super) fn adopt_holder_lease(&mut self, handover: &Handover, now: Time) {
         let holder = handover.holder.clone();
         for taker in handover.takers.iter().filter(|t| !t.address.is_empty()) {
-            self.runs.reached_at(&taker.id, &taker.address);
+            self.incarnations.record_address(&taker.id, &taker.address);
         }
         if !handover.holder_address.is_empty() {
-            self.runs.reached_at(&holder, &handover.holder_address);
+            self.incarnations
+                .record_address(&holder, &handover.holder_address);
         }
         let ids = handover.takers.iter().map(|t| t.id.clone());
         let mut takers: BTreeSet<HostId> = ids.collect();
         let known = self.leases.get(&holder);
         takers.extend(known.into_iter().flat_map(|l| l.takers.iter().cloned()));
-        takers.remove(&self.me);
+        takers.remove(&self.own_id);
         // The later incarnation of the holder is this host itself; there is no other.
-        let heir_until = if self.is_earlier_run(&holder) {
+        let heir_until = if self.is_own_earlier_incarnation(&holder) {
             Time::MAX
         } else {
             handover.heir_until
@@ -238,10 +242,10 @@
         self.leases.insert(holder.clone(), lease);
         for promise in &handover.promises {
             let key = (holder.clone(), promise.taker.clone());
-            let until = self.promises.entry(key).or_default();
+            let until = self.promises_received.entry(key).or_default();
             *until = (*until).max(promise.until);
         }
-        self.revalue(&holder);
-        self.touch(now);
+        self.recompute_lease(&holder);
+        self.expire_rights(now);
     }
 }
--- a/crates/entry-core/src/ownership/runs.rs
+++ b/crates/entry-core/src/ownership/incarnations.rs
@@ -10,27 +10,27 @@
 
 /// Known incarnations of hosts and their addresses.
 #[derive(Debug)]
-pub(super) struct Runs {
+pub(super) struct Incarnations {
     addresses: BTreeMap<HostId, Name>,
     /// The latest incarnation seen per host name and address.
     latest: BTreeMap<(Name, Name), u64>,
 }
 
-impl Runs {
+impl Incarnations {
     /// Creates a record that contains this host only.
     pub(super) fn new(me: &HostId, address: &Name) -> Self {
-        let mut runs = Self {
+        let mut incarnations = Self {
             addresses: BTreeMap::new(),
             latest: BTreeMap::new(),
         };
-        runs.heard(me, address);
-        runs
+        incarnations.record(me, address);
+        incarnations
     }
 
     /// Records that an incarnation exists at an address. Returns true if it is newer than
     /// any known there.
-    pub(super) fn heard(&mut self, id: &HostId, address: &Name) -> bool {
-        self.reached_at(id, address);
+    pub(super) fn record(&mut self, id: &HostId, address: &Name) -> bool {
+        self.record_address(id, address);
         let key = (id.name.clone(), address.clone());
         let latest = self.latest.entry(key).or_default();
         let newer = id.incarnation > *latest;
@@ -39,7 +39,7 @@
     }
 
     /// Records the address of an incarnation, which may have ended.
-    pub(super) fn reached_at(&mut self, id: &HostId, address: &Name) {
+    pub(super) fn record_address(&mut self, id: &HostId, address: &Name) {
         self.addresses.insert(id.clone(), address.clone());
     }
 
--- a/crates/entry-core/src/ownership/mod.rs
+++ b/crates/entry-core/src/ownership/mod.rs
@@ -4,13 +4,13 @@
 //! compare-and-set.
 //!
 //! `rights` computes how long a right lasts, `table` reads and writes the row,
-//! `promises` tracks the hosts' promises not to take over, `handing` moves shards
-//! between hosts, `runs` tracks which incarnations have ended.
+//! `promises` tracks the hosts' promises not to take over, `handover` moves shards
+//! between hosts, `incarnations` tracks which incarnations have ended.
 
-mod handing;
+mod handover;
+mod incarnations;
 mod promises;
 mod rights;
-mod runs;
 mod table;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,15 +20,15 @@
 use gannetridge_entry_wire::{Epoch, HostId, Time};
 use gannetridge_wire::Name;
 
+use incarnations::Incarnations;
 pub use rights::Right;
-use runs::Runs;
 
 use crate::charts::{ShardState, SHARD};
 use crate::settings::{HostSettings, Safeguards, Tuning};
 
 /// Time after the end of its lease at which a host without shards is removed from the
 /// row.
-const FORGET_MEMBER_MS: u64 = 60_000;
+const MEMBER_RETENTION_MS: u64 = 60_000;
 
 /// The local state of one shard.
 #[derive(Clone, Debug)]
@@ -66,10 +66,10 @@
 
 /// A write of the row whose outcome isn't known yet.
 #[derive(Clone, Debug)]
-struct Attempt {
+struct PendingWrite {
     row: HallRow,
     /// The version that the write replaces.
-    base: u64,
+    base_version: u64,
     /// The shards that the write claims, with their new epochs.
     claims: BTreeMap<u16, Epoch>,
     /// The holders from which the write takes shards over.
@@ -80,7 +80,7 @@
 
 /// The shards whose ownership changed with a new row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct OwnershipChanges {
     /// Shards that this host now holds.
     pub acquired: Vec<u16>,
     /// Shards that this host no longer holds.
@@ -90,29 +90,29 @@
 /// This host's state of the ownership of its hall's shards.
 #[derive(Debug)]
 pub struct Ownership {
-    me: HostId,
+    own_id: HostId,
     address: Name,
     tuning: Tuning,
     safeguards: Safeguards,
     row: HallRow,
     version: u64,
     /// True once the row was read or written.
-    known: bool,
-    attempt: Option<Attempt>,
+    row_known: bool,
+    pending_write: Option<PendingWrite>,
     shards: Vec<LocalShard>,
     leases: BTreeMap<HostId, HolderLease>,
     /// Promises received, by holder and by the host that promised.
-    promises: BTreeMap<(HostId, HostId), Time>,
+    promises_received: BTreeMap<(HostId, HostId), Time>,
     /// The end of this host's own promises, by holder.
-    given: BTreeMap<HostId, Time>,
-    runs: Runs,
+    promises_given: BTreeMap<HostId, Time>,
+    incarnations: Incarnations,
     /// Hosts that will never take a shard over.
     resigned: BTreeSet<HostId>,
     /// The decisions on received handovers, by sender and serial, so that a copy gets the
     /// same reply.
-    offers: BTreeMap<(HostId, u64), Acceptance>,
+    handover_decisions: BTreeMap<(HostId, u64), HandoverDecision>,
     /// The serial of the last handover sent.
-    serial: u64,
+    last_serial: u64,
     /// The latest end of any right that was handed over, unless this host extends it by
     /// a promise.
     offered_until: Time,
@@ -134,22 +134,22 @@
             lapsed: false,
         };
         Self {
-            me: settings.id.clone(),
+            own_id: settings.id.clone(),
             address: settings.address.clone(),
             tuning: settings.tuning.clone(),
             safeguards: settings.safeguards,
             row: HallRow::empty(),
             version: 0,
-            known: false,
-            attempt: None,
+            row_known: false,
+            pending_write: None,
             shards: vec![shard; usize::from(SHARDS_PER_HALL)],
             leases: BTreeMap::new(),
-            promises: BTreeMap::new(),
-            given: BTreeMap::new(),
-            runs: Runs::new(&settings.id, &settings.address),
+            promises_received: BTreeMap::new(),
+            promises_given: BTreeMap::new(),
+            incarnations: Incarnations::new(&settings.id, &settings.address),
             resigned: BTreeSet::new(),
-            offers: BTreeMap::new(),
-            serial: 0,
+            handover_decisions: BTreeMap::new(),
+            last_serial: 0,
             offered_until: Time::ZERO,
             stopping: false,
             started: now,
@@ -180,7 +180,7 @@
 
     /// Returns true if this host holds, acts for or is handing over any shard.
     #[must_use]
-    pub fn has_any(&self) -> bool {
+    pub fn has_any_shard(&self) -> bool {
         self.shards.iter().any(|s| s.state != ShardState::Absent)
     }
 
@@ -207,13 +207,13 @@
     /// Returns true if this host will never take over a shard any more.
     #[must_use]
     pub fn resigned(&self) -> bool {
-        let taking = |a: &Attempt| !a.takes_from.is_empty();
-        self.stopping && !self.attempt.as_ref().is_some_and(taking)
+        let taking = |w: &PendingWrite| !w.takes_from.is_empty();
+        self.stopping && !self.pending_write.as_ref().is_some_and(taking)
     }
 
     /// Removes the leases of holders that this host no longer acts for, with their
     /// promises, so that no peer is asked to extend them.
-    fn forget_unused_leases(&mut self) {
+    fn remove_unused_leases(&mut self) {
         let acts = |s: &&LocalShard| s.state != ShardState::Absent;
         let holders: BTreeSet<HostId> = self
             .shards
@@ -221,20 +221,20 @@
             .filter(acts)
             .map(|s| s.holder.clone())
             .collect();
-        let me = &self.me;
+        let me = &self.own_id;
         let used = |holder: &HostId| holder == me || holders.contains(holder);
         self.leases.retain(|holder, _| used(holder));
-        self.promises.retain(|(holder, _), _| used(holder));
+        self.promises_received.retain(|(holder, _), _| used(holder));
         let (row, leases) = (&self.row, &self.leases);
         let takes = |id: &HostId| leases.values().any(|lease| lease.takers.contains(id));
-        self.runs
+        self.incarnations
             .retain(|id| row.member(id).is_some() || leases.contains_key(id) || takes(id));
     }
 }
 
 /// The receiver's decision on a handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Acceptance {
+pub enum HandoverDecision {
     /// The receiver now acts for the shard's holder.
     Accepted,
     /// The same handover has been accepted before.
@@ -245,9 +245,9 @@
     NotAddressee,
 }
 
-impl Acceptance {
+impl HandoverDecision {
     /// Returns the decision on a copy of the same handover.
-    fn repeated(self) -> Self {
+    fn for_copy(self) -> Self {
         match self {
             Self::Accepted => Self::Repeated,
             other => other,
--- a/crates/entry-core/src/ownership/rights.rs
+++ b/crates/entry-core/src/ownership/rights.rs
@@ -30,12 +30,12 @@
         if !matches!(local.state, ShardState::Held | ShardState::Acting) {
             return None;
         }
-        self.right_as_holder(shard, now)
+        self.lease_right(shard, now)
     }
 
     /// Returns the right that the holder's lease gives, even while the shard is being
     /// handed over.
-    pub(super) fn right_as_holder(&self, shard: u16, now: Time) -> Option<Right> {
+    pub(super) fn lease_right(&self, shard: u16, now: Time) -> Option<Right> {
         let local = &self.shards[usize::from(shard)];
         let lease = self.leases.get(&local.holder)?;
         let mut until = lease.valid_until;
@@ -43,7 +43,7 @@
         if local.state == ShardState::Acting && self.is_claimed(shard) {
             // The claim may have been written without this host's knowledge. Then its own
             // lease counts, and the promises of its own possible successors.
-            let own = self.leases.get(&self.me)?;
+            let own = self.leases.get(&self.own_id)?;
             until = until.min(own.valid_until);
             lapsed |= own.lapsed;
         }
@@ -60,18 +60,18 @@
 
     /// Returns true if a write in progress claims a shard for this host.
     pub(super) fn is_claimed(&self, shard: u16) -> bool {
-        let attempt = self.attempt.as_ref();
-        attempt.is_some_and(|a| a.claims.contains_key(&shard))
+        let write = self.pending_write.as_ref();
+        write.is_some_and(|w| w.claims.contains_key(&shard))
     }
 
     /// Returns the latest time at which a task of a job accepted in `epoch` may start, or
     /// `None` if the right to the shard has expired. The jobs of a shard that was handed
     /// over gracefully stay with this host, without a limit.
     #[must_use]
-    pub fn begin_limit(&self, shard: u16, epoch: Epoch, now: Time) -> Option<Time> {
+    pub fn latest_start(&self, shard: u16, epoch: Epoch, now: Time) -> Option<Time> {
         match self.state(shard) {
             ShardState::Held | ShardState::Acting | ShardState::HandingOver => {
-                let right = self.right_as_holder(shard, now);
+                let right = self.lease_right(shard, now);
                 // The shard was taken over and acquired again since: its older jobs must not
                 // start tasks any more.
                 right.filter(|r| epoch >= r.fence).map(|r| r.until)
@@ -82,7 +82,7 @@
 
     /// Marks the rights that have expired by `now`. Has to be called before any change
     /// that could extend a right.
-    pub fn touch(&mut self, now: Time) {
+    pub fn expire_rights(&mut self, now: Time) {
         for (holder, lease) in &mut self.leases {
             if lease.lapsed || now <= lease.valid_until {
                 continue;
@@ -97,15 +97,18 @@
     }
 
     /// Recomputes until when a holder's lease gives rights.
-    pub(super) fn revalue(&mut self, holder: &HostId) {
+    pub(super) fn recompute_lease(&mut self, holder: &HostId) {
         let Some(lease) = self.leases.get_mut(holder) else {
             return;
         };
         let promised = |taker: &HostId| {
             let key = (holder.clone(), taker.clone());
-            self.promises.get(&key).copied().unwrap_or(Time::ZERO)
+            self.promises_received
+                .get(&key)
+                .copied()
+                .unwrap_or(Time::ZERO)
         };
-        let harmless = |t: &HostId| self.runs.has_ended(t) || self.resigned.contains(t);
+        let harmless = |t: &HostId| self.incarnations.has_ended(t) || self.resigned.contains(t);
         let needed = lease.takers.iter().filter(|t| !harmless(t));
         let by_promise = needed.map(promised).min().unwrap_or(Time::MAX);
         let extended = by_promise.min(lease.heir_until).min(lease.limit);
--- a/crates/entry-core/src/queue.rs
+++ b/crates/entry-core/src/queue.rs
@@ -12,11 +12,11 @@
 use crate::keys::{AccountIndex, JobKey};
 
 /// Fraction of a host's slots that an account at its quota leaves free.
-const LEAST_RESERVE: f64 = 0.1;
+const MIN_RESERVE: f64 = 0.1;
 /// Additional fraction left free per multiple of the quota in use beyond the first.
 const RESERVE_SLOPE: f64 = 0.25;
 /// Largest fraction of a host's slots that an account leaves free.
-const MOST_RESERVE: f64 = 0.6;
+const MAX_RESERVE: f64 = 0.6;
 
 /// An account's quota and its use at other hosts, in slots.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,22 +26,22 @@
     /// Slots in use through other hosts, as last reported.
     pub elsewhere: f64,
     /// The minimum that the account may use through this host.
-    pub least: f64,
+    pub minimum: f64,
 }
 
 impl Quota {
     /// Returns the number of slots that the account may use through this host.
     #[must_use]
-    pub fn here(&self) -> f64 {
-        self.least.max(self.total - self.elsewhere)
+    pub fn local_limit(&self) -> f64 {
+        self.minimum.max(self.total - self.elsewhere)
     }
 
     /// Returns the fraction of a host's slots that the account leaves free while it
     /// uses `in_use` slots here; it grows with the excess over the quota.
     #[must_use]
-    pub fn reserve(&self, in_use: u32) -> f64 {
+    pub fn reserved_fraction(&self, in_use: u32) -> f64 {
         let excess = (f64::from(in_use) + self.elsewhere) / self.total.max(1.0) - 1.0;
-        (LEAST_RESERVE + RESERVE_SLOPE * excess.max(0.0)).min(MOST_RESERVE)
+        (MIN_RESERVE + RESERVE_SLOPE * excess.max(0.0)).min(MAX_RESERVE)
     }
 }
 
@@ -66,24 +66,24 @@
 }
 
 impl AccountQueue {
-    fn over_quota(&self) -> bool {
-        f64::from(self.in_use) >= self.quota.here()
+    fn is_over_quota(&self) -> bool {
+        f64::from(self.in_use) >= self.quota.local_limit()
     }
 
-    fn load(&self) -> f64 {
-        f64::from(self.in_use) / self.quota.here()
+    fn quota_use(&self) -> f64 {
+        f64::from(self.in_use) / self.quota.local_limit()
     }
 
     /// Returns true if a task of the account may use one of the free slots.
-    fn may_take(&self, slots: FreeSlots) -> bool {
-        let reserve = self.quota.reserve(self.in_use) * f64::from(slots.capacity);
-        !self.over_quota() || f64::from(slots.free) > reserve
+    fn may_use_slot(&self, slots: FreeSlots) -> bool {
+        let reserve = self.quota.reserved_fraction(self.in_use) * f64::from(slots.capacity);
+        !self.is_over_quota() || f64::from(slots.free) > reserve
     }
 
     /// Returns the number of waiting tasks that fit within the quota.
-    fn entitled(&self) -> u32 {
-        let room = (self.quota.here() - f64::from(self.in_use)).ceil();
-        self.waiting.min(room.max(0.0) as u32)
+    fn waiting_within_quota(&self) -> u32 {
+        let available = (self.quota.local_limit() - f64::from(self.in_use)).ceil();
+        self.waiting.min(available.max(0.0) as u32)
     }
 }
 
@@ -100,7 +100,7 @@
 
 impl Queue {
     /// Adds an account, or updates its urgency and quota.
-    pub fn account(&mut self, name: &Name, urgency: Urgency, quota: Quota) -> AccountIndex {
+    pub fn set_account(&mut self, name: &Name, urgency: Urgency, quota: Quota) -> AccountIndex {
         if let Some(index) = self.by_name.get(name) {
             let account = &mut self.accounts[index.0];
             account.quota = quota;
@@ -123,26 +123,28 @@
 
     /// Returns true if an account uses its whole quota or more.
     #[must_use]
-    pub fn over_quota(&self, account: AccountIndex) -> bool {
-        self.accounts[account.0].over_quota()
+    pub fn is_over_quota(&self, account: AccountIndex) -> bool {
+        self.accounts[account.0].is_over_quota()
     }
 
     /// Returns the number of waiting tasks.
     #[must_use]
-    pub fn tasks(&self) -> usize {
+    pub fn waiting_tasks(&self) -> usize {
         self.tasks
     }
 
     /// Returns the number of waiting tasks that fit within their accounts' quotas.
     #[must_use]
-    pub fn entitled(&self) -> u32 {
+    pub fn waiting_within_quota(&self) -> u32 {
         let waiting = self.waiting.iter();
-        waiting.map(|i| self.accounts[i.0].entitled()).sum()
+        waiting
+            .map(|i| self.accounts[i.0].waiting_within_quota())
+            .sum()
     }
 
     /// Returns the due time of the next job.
     #[must_use]
-    pub fn first_due(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         let account = self.first_account(&[])?;
         let (due, _) = self.accounts[account.0].jobs.first()?;
         Some(*due)
@@ -153,7 +155,7 @@
     #[must_use]
     pub fn work_ahead_ms(&self, account: AccountIndex) -> u64 {
         let own = &self.accounts[account.0];
-        let rank = |a: &AccountQueue| (a.over_quota(), a.urgency);
+        let rank = |a: &AccountQueue| (a.is_over_quota(), a.urgency);
         let ahead = self.waiting.iter().filter(|index| {
             let other = &self.accounts[index.0];
             **index == account || rank(other) <= rank(own)
@@ -195,7 +197,7 @@
     }
 
     /// Counts a task that starts to wait.
-    pub fn task_waits(&mut self, account: AccountIndex, expected_ms: u32) {
+    pub fn add_task(&mut self, account: AccountIndex, expected_ms: u32) {
         let queue = &mut self.accounts[account.0];
         queue.work_ms += u64::from(expected_ms);
         queue.waiting += 1;
@@ -203,7 +205,7 @@
     }
 
     /// Uncounts a task that no longer waits.
-    pub fn task_leaves(&mut self, account: AccountIndex, expected_ms: u32) {
+    pub fn remove_task(&mut self, account: AccountIndex, expected_ms: u32) {
         let queue = &mut self.accounts[account.0];
         queue.work_ms -= u64::from(expected_ms);
         queue.waiting -= 1;
@@ -211,38 +213,45 @@
     }
 
     /// Counts a slot that an account takes into use.
-    pub fn slot_taken(&mut self, account: AccountIndex) {
+    pub fn acquire_slot(&mut self, account: AccountIndex) {
         self.accounts[account.0].in_use += 1;
     }
 
     /// Uncounts a slot that an account no longer uses.
-    pub fn slot_freed(&mut self, account: AccountIndex) {
+    pub fn release_slot(&mut self, account: AccountIndex) {
         self.accounts[account.0].in_use -= 1;
     }
 
-    /// Returns the next job to start a task of, skipping the accounts in `passed`. An
+    /// Returns the next job to start a task of, skipping the accounts in `excluded`. An
     /// account over its quota is eligible only if enough slots are free.
     #[must_use]
-    pub fn next(
+    pub fn next_job(
         &self,
         slots: FreeSlots,
-        passed: &[AccountIndex],
+        excluded: &[AccountIndex],
     ) -> Option<(AccountIndex, JobKey)> {
-        let first = self.first_account(passed)?;
+        let first = self.first_account(excluded)?;
         let account = &self.accounts[first.0];
-        if !account.may_take(slots) {
+        if !account.may_use_slot(slots) {
             return None;
         }
         let (_, job) = account.jobs.first()?;
         Some((first, *job))
     }
 
-    fn first_account(&self, passed: &[AccountIndex]) -> Option<AccountIndex> {
+    fn first_account(&self, excluded: &[AccountIndex]) -> Option<AccountIndex> {
         let order = |index: &AccountIndex| {
             let account = &self.accounts[index.0];
-            (account.over_quota(), account.urgency, account.load())
+            (
+                account.is_over_quota(),
+                account.urgency,
+                account.quota_use(),
+            )
         };
-        let candidates = self.waiting.iter().filter(|index| !passed.contains(index));
+        let candidates = self
+            .waiting
+            .iter()
+            .filter(|index| !excluded.contains(index));
         let first = candidates.min_by(|a, b| {
             let (a, b) = (order(a), order(b));
             (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2))
--- a/crates/entry-core/src/retry.rs
+++ b/crates/entry-core/src/retry.rs
@@ -5,17 +5,17 @@
 use rand_pcg::Pcg32;
 
 /// Fraction of a retry that each first try adds to the budget.
-const EARNED: f64 = 0.1;
+const EARNED_PER_TRY: f64 = 0.1;
 /// Largest number of retries that the budget can hold.
-const MOST_SAVED: f64 = 200.0;
+const MAX_BALANCE: f64 = 200.0;
 /// Retries added to the budget each second, independent of the load.
-const PER_SECOND: f64 = 10.0;
+const EARNED_PER_SECOND: f64 = 10.0;
 
 /// Limits retries to a fraction of first tries, so that an outage or a burst doesn't
 /// multiply messages.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    balance: f64,
     updated: Time,
 }
 
@@ -24,24 +24,24 @@
     #[must_use]
     pub fn new(now: Time) -> Self {
         Self {
-            saved: MOST_SAVED,
+            balance: MAX_BALANCE,
             updated: now,
         }
     }
 
     /// Records a first try.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(MOST_SAVED);
+        self.balance = (self.balance + EARNED_PER_TRY).min(MAX_BALANCE);
     }
 
     /// Takes one retry from the budget. Returns false if the budget is exhausted.
-    pub fn spend(&mut self, now: Time) -> bool {
+    pub fn try_spend(&mut self, now: Time) -> bool {
         let seconds = now.micros_since(self.updated) as f64 / 1e6;
         self.updated = now.max(self.updated);
-        self.saved = (self.saved + seconds * PER_SECOND).min(MOST_SAVED);
-        let allowed = self.saved >= 1.0;
+        self.balance = (self.balance + seconds * EARNED_PER_SECOND).min(MAX_BALANCE);
+        let allowed = self.balance >= 1.0;
         if allowed {
-            self.saved -= 1.0;
+            self.balance -= 1.0;
         }
         allowed
     }
--- a/crates/entry-core/src/seen.rs
+++ b/crates/entry-core/src/seen.rs
@@ -6,12 +6,12 @@
 
 /// How long a request is remembered, in ms; assumed to be longer than any copy of it
 /// can be delayed.
-const MEMORY_MS: u64 = 10_000;
+const RETENTION_MS: u64 = 10_000;
 
 /// Identifies a request: its sender and the sender's serial of it.
 pub type RequestKey = (HostId, u64);
 
-/// The requests received within the last `MEMORY_MS`.
+/// The requests received within the last `RETENTION_MS`.
 #[derive(Debug, Default)]
 pub struct SeenRequests {
     keys: HashSet<RequestKey>,
@@ -20,8 +20,8 @@
 
 impl SeenRequests {
     /// Records a request. Returns true if it wasn't recorded before.
-    pub fn is_new(&mut self, key: RequestKey, now: Time) -> bool {
-        self.forget(now.minus_millis(MEMORY_MS));
+    pub fn insert(&mut self, key: RequestKey, now: Time) -> bool {
+        self.remove_before(now.minus_millis(RETENTION_MS));
         let new = self.keys.insert(key.clone());
         if new {
             self.by_age.push_back((now, key));
@@ -29,7 +29,7 @@
         new
     }
 
-    fn forget(&mut self, before: Time) {
+    fn remove_before(&mut self, before: Time) {
         while let Some((time, _)) = self.by_age.front() {
             if *time >= before {
                 break;
--- a/crates/entry-core/src/targets/choice.rs
+++ b/crates/entry-core/src/targets/choice.rs
@@ -12,7 +12,7 @@
 use crate::settings::Placement;
 
 /// Random draws before all targets are searched in order.
-const SAMPLE_TRIES: usize = 16;
+const MAX_RANDOM_DRAWS: usize = 16;
 
 impl Targets {
     /// Selects a target with a free slot of this host's share, or `None` if there is none.
@@ -23,40 +23,44 @@
         rng: &mut Pcg32,
         allowed: impl Fn(&Name) -> bool,
     ) -> Option<TargetIndex> {
-        let can_take = |t: &Target| t.free() > 0 && allowed(&t.hall);
+        let is_eligible = |t: &Target| t.free_slots() > 0 && allowed(&t.hall);
         match self.placement {
             Placement::SharesLending | Placement::Shares | Placement::LeastInFlight => {
-                let mut ready = self.ready.iter().map(|(_, index)| *index);
-                ready.find(|index| can_take(self.get(*index)))
+                let mut ranked = self.free_by_rank.iter().map(|(_, index)| *index);
+                ranked.find(|index| is_eligible(self.get(*index)))
             }
             Placement::RoundRobin => {
                 let found = (0..self.all.len())
-                    .map(|step| (self.cursor + step) % self.all.len())
-                    .find(|i| can_take(&self.all[*i]))?;
-                self.cursor = found + 1;
+                    .map(|step| (self.round_robin_next + step) % self.all.len())
+                    .find(|i| is_eligible(&self.all[*i]))?;
+                self.round_robin_next = found + 1;
                 Some(TargetIndex(found as u32))
             }
-            Placement::Random => self.sample(rng, can_take),
+            Placement::Random => self.sample(rng, is_eligible),
             Placement::PowerOfTwo => {
-                let a = self.sample(rng, can_take)?;
-                let b = self.sample(rng, can_take)?;
+                let a = self.sample(rng, is_eligible)?;
+                let b = self.sample(rng, is_eligible)?;
                 let load = |index| {
                     let t: &Target = self.get(index);
-                    t.in_use + t.others
+                    t.in_use + t.other_tasks
                 };
                 Some(if load(b) < load(a) { b } else { a })
             }
         }
     }
 
-    fn sample(&self, rng: &mut Pcg32, can_take: impl Fn(&Target) -> bool) -> Option<TargetIndex> {
-        for _ in 0..SAMPLE_TRIES {
+    fn sample(
+        &self,
+        rng: &mut Pcg32,
+        is_eligible: impl Fn(&Target) -> bool,
+    ) -> Option<TargetIndex> {
+        for _ in 0..MAX_RANDOM_DRAWS {
             let i = rng.random_range(0..self.all.len().max(1));
-            if self.all.get(i).is_some_and(&can_take) {
+            if self.all.get(i).is_some_and(&is_eligible) {
                 return Some(TargetIndex(i as u32));
             }
         }
-        let found = self.all.iter().position(can_take)?;
+        let found = self.all.iter().position(is_eligible)?;
         Some(TargetIndex(found as u32))
     }
 }
--- a/crates/entry-core/src/targets/division.rs
+++ b/crates/entry-core/src/targets/division.rs
@@ -10,7 +10,7 @@
 
 impl Targets {
     /// Recomputes this host's share of every target.
-    pub(super) fn divide(&mut self) {
+    pub(super) fn divide_slots(&mut self) {
         for i in 0..self.all.len() {
             let share = self.share_of(&self.all[i]);
             self.update(TargetIndex(i as u32), |t| t.share = share);
@@ -22,8 +22,8 @@
         if !divided {
             return target.slots;
         }
-        let place = self.members.iter().position(|name| *name == self.me);
-        let (Some(place), true) = (place, target.hall == self.hall) else {
+        let position = self.members.iter().position(|name| *name == self.own_name);
+        let (Some(position), true) = (position, target.hall == self.hall) else {
             return 0;
         };
         let hosts = self.members.len() as u64;
@@ -31,8 +31,8 @@
         // The first host to get one of the remaining slots depends on the target's name,
         // so that the remainders are spread over all hosts.
         let first = xxh3_64(target.name.as_bytes()) % hosts;
-        let turn = (place as u64 + hosts - first) % hosts;
-        let extra = u64::from(turn < slots % hosts);
+        let offset = (position as u64 + hosts - first) % hosts;
+        let extra = u64::from(offset < slots % hosts);
         (slots / hosts + extra) as u32
     }
 }
--- a/crates/entry-core/src/targets/mod.rs
+++ b/crates/entry-core/src/targets/mod.rs
@@ -25,7 +25,7 @@
 
 /// The values of a target that the index and the totals currently contain.
 #[derive(Clone, Copy, Debug, Default)]
-struct Indexed {
+struct IndexedValues {
     rank: u64,
     free: u32,
     capacity: u32,
@@ -36,34 +36,34 @@
 #[derive(Debug)]
 pub struct Targets {
     hall: Name,
-    me: Name,
+    own_name: Name,
     placement: Placement,
     members: Vec<Name>,
     all: Vec<Target>,
     by_name: HashMap<Name, TargetIndex>,
-    indexed: Vec<Indexed>,
-    ready: BTreeSet<(u64, TargetIndex)>,
+    indexed: Vec<IndexedValues>,
+    free_by_rank: BTreeSet<(u64, TargetIndex)>,
     draining: BTreeSet<Name>,
-    cursor: usize,
+    round_robin_next: usize,
     own_free: u32,
     own_capacity: u32,
 }
 
 impl Targets {
-    /// Creates an empty list for the host `me` of `hall`.
+    /// Creates an empty list for the host `own_name` of `hall`.
     #[must_use]
-    pub fn new(hall: Name, me: Name, placement: Placement) -> Self {
+    pub fn new(hall: Name, own_name: Name, placement: Placement) -> Self {
         Self {
             hall,
             placement,
-            members: vec![me.clone()],
-            me,
+            members: vec![own_name.clone()],
+            own_name,
             all: Vec::new(),
             by_name: HashMap::new(),
             indexed: Vec::new(),
-            ready: BTreeSet::new(),
+            free_by_rank: BTreeSet::new(),
             draining: BTreeSet::new(),
-            cursor: 0,
+            round_robin_next: 0,
             own_free: 0,
             own_capacity: 0,
         }
@@ -113,14 +113,17 @@
     /// Returns the names of listed targets known to be leaving.
     #[must_use]
     pub fn leaving(&self) -> Vec<Name> {
-        let leaving = self.all.iter().filter(|t| t.listed && t.health.leaving());
+        let leaving = self
+            .all
+            .iter()
+            .filter(|t| t.listed && t.health.is_leaving());
         leaving.map(|t| t.name.clone()).collect()
     }
 
     /// Returns true if any listed target is known to be leaving.
     #[must_use]
     pub fn any_leaving(&self) -> bool {
-        self.all.iter().any(|t| t.listed && t.health.leaving())
+        self.all.iter().any(|t| t.listed && t.health.is_leaving())
     }
 
     /// Changes a target, and updates the index and the totals accordingly.
@@ -128,17 +131,17 @@
         let i = index.0 as usize;
         let result = change(&mut self.all[i]);
         let old = self.indexed[i];
-        let free = self.all[i].free();
+        let free = self.all[i].free_slots();
         let rank = self.all[i].rank();
         if old.free > 0 {
-            self.ready.remove(&(old.rank, index));
+            self.free_by_rank.remove(&(old.rank, index));
         }
         if free > 0 {
-            self.ready.insert((rank, index));
+            self.free_by_rank.insert((rank, index));
         }
-        let usable = self.all[i].usable();
+        let usable = self.all[i].is_usable();
         let capacity = if usable { self.all[i].share } else { 0 };
-        self.indexed[i] = Indexed {
+        self.indexed[i] = IndexedValues {
             rank,
             free,
             capacity,
@@ -149,28 +152,28 @@
     }
 
     /// Applies the platform's whole list as read at `now`; it may lag by `lag_ms`.
-    pub fn listed(&mut self, list: &HostList, now: Time, lag_ms: u64) {
-        let mut gone: BTreeSet<Name> = self.by_name.keys().cloned().collect();
+    pub fn apply_list(&mut self, list: &HostList, now: Time, lag_ms: u64) {
+        let mut unlisted: BTreeSet<Name> = self.by_name.keys().cloned().collect();
         for entry in &list.targets {
-            gone.remove(&entry.name);
+            unlisted.remove(&entry.name);
             let index = self.find_or_add(entry);
             self.update(index, |t| {
                 t.listed = true;
                 t.address = entry.address.clone();
                 t.slots = entry.slots;
-                t.others = entry.busy.saturating_sub(t.in_use);
+                t.other_tasks = entry.busy.saturating_sub(t.in_use);
                 if entry.leaving {
-                    t.health.leaves(now);
+                    t.health.mark_leaving(now);
                 } else {
-                    t.health.listed_live(now, lag_ms);
+                    t.health.record_listed_live(now, lag_ms);
                 }
             });
         }
-        for name in gone {
+        for name in unlisted {
             let index = self.by_name[&name];
             self.update(index, |t| t.listed = false);
         }
-        self.divide();
+        self.divide_slots();
     }
 
     fn find_or_add(&mut self, entry: &ListedTarget) -> TargetIndex {
@@ -178,7 +181,7 @@
             return index;
         }
         let index = TargetIndex(self.all.len() as u32);
-        let hash = xxh3_64(format!("{}/{}", self.me, entry.name).as_bytes());
+        let hash = xxh3_64(format!("{}/{}", self.own_name, entry.name).as_bytes());
         self.all.push(Target {
             name: entry.name.clone(),
             address: entry.address.clone(),
@@ -188,13 +191,13 @@
             in_use: 0,
             lent: 0,
             blocked: 0,
-            others: 0,
+            other_tasks: 0,
             health: Health::default(),
             draining: self.draining.contains(&entry.hall),
             listed: true,
             tie_break: hash as u16,
         });
-        self.indexed.push(Indexed::default());
+        self.indexed.push(IndexedValues::default());
         self.by_name.insert(entry.name.clone(), index);
         index
     }
@@ -205,7 +208,7 @@
         members.dedup();
         if members != self.members {
             self.members = members;
-            self.divide();
+            self.divide_slots();
         }
     }
 
@@ -219,10 +222,10 @@
     }
 
     /// Starts to probe the targets whose ejection has ended.
-    pub fn revive(&mut self, now: Time) {
+    pub fn probe_due_targets(&mut self, now: Time) {
         for i in 0..self.all.len() {
-            if !self.all[i].health.usable() {
-                self.update(TargetIndex(i as u32), |t| t.health.revive(now));
+            if !self.all[i].health.is_usable() {
+                self.update(TargetIndex(i as u32), |t| t.health.probe_if_due(now));
             }
         }
     }
--- a/crates/entry-core/src/targets/target.rs
+++ b/crates/entry-core/src/targets/target.rs
@@ -24,7 +24,7 @@
     /// Slots temporarily unused, since the target refused a task as full.
     pub blocked: u32,
     /// Tasks of other hosts, by the platform's last list.
-    pub others: u32,
+    pub other_tasks: u32,
     /// Limits the tasks that the target gets after failures.
     pub health: Health,
     /// True while the target's hall is being drained.
@@ -38,25 +38,25 @@
 impl Target {
     /// Returns true if the target may get new tasks.
     #[must_use]
-    pub fn usable(&self) -> bool {
-        self.listed && !self.draining && self.health.usable()
+    pub fn is_usable(&self) -> bool {
+        self.listed && !self.draining && self.health.is_usable()
     }
 
     /// Returns how many more tasks this host may start within its own share.
     #[must_use]
-    pub fn free(&self) -> u32 {
-        if !self.usable() {
+    pub fn free_slots(&self) -> u32 {
+        if !self.is_usable() {
             return 0;
         }
-        let limit = self.health.limit().min(self.share);
+        let limit = self.health.task_limit().min(self.share);
         limit.saturating_sub(self.in_use + self.lent + self.blocked)
     }
 
     /// Returns the sort key among targets with free slots: by slowness, then by the
     /// largest free part of the share, then by `tie_break`.
     pub(super) fn rank(&self) -> u64 {
-        let slowness = u64::from(self.health.slowness());
-        let used = 1_000 - u64::from(self.free() * 1_000 / self.share.max(1));
+        let slowness = u64::from(self.health.slowness_rank());
+        let used = 1_000 - u64::from(self.free_slots() * 1_000 / self.share.max(1));
         (slowness * 1_001 + used) * (u64::from(u16::MAX) + 1) + u64::from(self.tie_break)
     }
 }
