--- a/crates/entry-core/src/host/heartbeat.rs
+++ b/crates/entry-core/src/host/heartbeat.rs
@@ -70,7 +70,7 @@
             hall: self.settings.hall.clone(),
             address: self.settings.address.clone(),
             config_version: self.config.version(),
-            shards: self.ownership.held(),
+            shards: self.ownership.held_shards(),
             spare: self.spare(),
             usage,
             leaving: self.targets.leaving(),
--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -191,7 +191,7 @@
 
     /// Returns the number of submissions in the ledger.
     #[must_use]
-    pub fn remembered(&self) -> usize {
+    pub fn ledger_len(&self) -> usize {
         self.ledger.len()
     }
 
--- a/crates/entry-core/src/host/owner.rs
+++ b/crates/entry-core/src/host/owner.rs
@@ -122,7 +122,7 @@
         self.directory.set_row(&hall, self.ownership.row().clone());
         let moved = !changes.acquired.is_empty() || !changes.lost.is_empty();
         for shard in changes.acquired {
-            let held = self.ownership.held();
+            let held = self.ownership.held_shards();
             let epoch = held
                 .iter()
                 .find(|(s, _)| *s == shard)
--- a/crates/entry-core/src/host/quotas.rs
+++ b/crates/entry-core/src/host/quotas.rs
@@ -51,7 +51,7 @@
     pub(super) fn quota(&self, name: &Name, account: &Account) -> Quota {
         let quota = f64::from(account.quota_slots);
         let halls = account.halls.len() as f64;
-        let held = self.ownership.held().len() as f64;
+        let held = self.ownership.held_shards().len() as f64;
         let part = quota / halls * held / f64::from(SHARDS_PER_HALL);
         let near = self.live_hall_peers().flat_map(|p| p.usage.iter());
         let near: u32 = near
--- a/crates/entry-core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -184,7 +184,7 @@
             .now
             .plus_millis(tuning.begin_window_ms)
             .min(job.deadline);
-        if self.settings.safeguards.begin_limit {
+        if self.settings.safeguards.limit_start_time {
             let limit = right.expect("checked before the start");
             assert!(
                 limit >= self.now || !self.settings.safeguards.lapse_check,
--- a/crates/entry-core/src/host/run_ends.rs
+++ b/crates/entry-core/src/host/run_ends.rs
@@ -86,7 +86,7 @@
             "a result belongs to its own run"
         );
         job.finish_task(task.index, output, ran_ms);
-        if job.unfinished == 0 || !self.settings.safeguards.whole_answers {
+        if job.unfinished == 0 || !self.settings.safeguards.require_all_tasks {
             self.complete_job(task.job);
         }
     }
@@ -112,7 +112,7 @@
     /// Records a report that a target is leaving.
     pub(super) fn mark_target_leaving(&mut self, target: TargetIndex) {
         let now = self.now;
-        if self.settings.safeguards.heed_leaving {
+        if self.settings.safeguards.exclude_leaving_targets {
             self.targets.update(target, |t| t.health.mark_leaving(now));
         }
     }
@@ -148,7 +148,8 @@
         let now = self.now;
         self.targets
             .update(task.target, |t| t.health.record_failure(now));
-        let lost = failure == SendFailure::Unknown && self.settings.safeguards.ask_when_lost;
+        let lost =
+            failure == SendFailure::Unknown && self.settings.safeguards.query_after_lost_start;
         if task.queried {
             return self.schedule_query(call, task);
         }
--- a/crates/entry-core/src/host/sync.rs
+++ b/crates/entry-core/src/host/sync.rs
@@ -92,7 +92,7 @@
     /// Applies the platform's list, or the changes in it.
     pub(super) fn apply_list(&mut self, update: HostList) {
         let mut update = update;
-        if !self.settings.safeguards.heed_leaving {
+        if !self.settings.safeguards.exclude_leaving_targets {
             update.targets.iter_mut().for_each(|t| t.leaving = false);
         }
         let unchanged = update.is_unchanged();
--- a/crates/entry-core/src/ownership/handover.rs
+++ b/crates/entry-core/src/ownership/handover.rs
@@ -30,7 +30,7 @@
             .filter(|m| m.id != self.own_id)
             .filter(alive);
         let to = others.min_by_key(|m| self.row.shard_count(&m.id))?;
-        let mine = self.held().len();
+        let mine = self.held_shards().len();
         let theirs = self.row.shard_count(&to.id);
         (self.stopping || mine > theirs + 1).then(|| (shard, to.clone()))
     }
--- a/crates/entry-core/src/ownership/mod.rs
+++ b/crates/entry-core/src/ownership/mod.rs
@@ -170,7 +170,7 @@
 
     /// Returns the shards that this host holds or acts for, with their epochs.
     #[must_use]
-    pub fn held(&self) -> Vec<(u16, Epoch)> {
+    pub fn held_shards(&self) -> Vec<(u16, Epoch)> {
         let held = |(_, s): &(usize, &LocalShard)| {
             matches!(s.state, ShardState::Held | ShardState::Acting)
         };
--- a/crates/entry-core/src/ownership/table.rs
+++ b/crates/entry-core/src/ownership/table.rs
@@ -152,7 +152,7 @@
     /// Returns the cutoff for rights that end at `end`, once that time has passed on every
     /// clock.
     pub(super) fn cutoff_after(&self, end: Time, now: Time) -> Option<Time> {
-        let wait = if self.safeguards.await_lease {
+        let wait = if self.safeguards.await_lease_expiry {
             end.plus_millis(self.tuning.skew_ms)
         } else {
             end.minus_millis(self.tuning.lease_ms * 3 / 4)
--- a/crates/entry-core/src/settings.rs
+++ b/crates/entry-core/src/settings.rs
@@ -101,15 +101,15 @@
     /// A new owner starts no submission that its predecessor may have started.
     pub takeover_cutoff: bool,
     /// A start is valid no longer than the right to its shard.
-    pub begin_limit: bool,
+    pub limit_start_time: bool,
     /// A host keeps its promises not to take over.
     pub keep_promises: bool,
     /// A host waits for the end of a lease plus the clock skew before it takes over.
-    pub await_lease: bool,
+    pub await_lease_expiry: bool,
     /// Only a newer configuration is applied.
     pub version_check: bool,
     /// The target is queried about a start that got no reply after it was written.
-    pub ask_when_lost: bool,
+    pub query_after_lost_start: bool,
     /// A submission that the ledger knows is answered from its entry.
     pub ledger: bool,
     /// A handover is accepted once, by the incarnation that it is addressed to.
@@ -117,9 +117,9 @@
     /// A refusal as not run is sent only if no earlier sending can exist.
     pub first_sending_check: bool,
     /// A job completes only when all its tasks have.
-    pub whole_answers: bool,
+    pub require_all_tasks: bool,
     /// Targets that are reported as leaving get no new tasks.
-    pub heed_leaving: bool,
+    pub exclude_leaving_targets: bool,
 }
 
 impl Default for Safeguards {
@@ -127,16 +127,16 @@
         Self {
             lapse_check: true,
             takeover_cutoff: true,
-            begin_limit: true,
+            limit_start_time: true,
             keep_promises: true,
-            await_lease: true,
+            await_lease_expiry: true,
             version_check: true,
-            ask_when_lost: true,
+            query_after_lost_start: true,
             ledger: true,
             handover_once: true,
             first_sending_check: true,
-            whole_answers: true,
-            heed_leaving: true,
+            require_all_tasks: true,
+            exclude_leaving_targets: true,
         }
     }
 }
--- a/crates/entry-sim/src/mutants.rs
+++ b/crates/entry-sim/src/mutants.rs
@@ -26,7 +26,7 @@
     },
     Mutant {
         name: "wait for the lease",
-        remove: |s| s.await_lease = false,
+        remove: |s| s.await_lease_expiry = false,
     },
     Mutant {
         name: "version check",
@@ -34,7 +34,7 @@
     },
     Mutant {
         name: "asking after lost starts",
-        remove: |s| s.ask_when_lost = false,
+        remove: |s| s.query_after_lost_start = false,
     },
     Mutant {
         name: "ledger",
@@ -50,10 +50,10 @@
     },
     Mutant {
         name: "whole answers",
-        remove: |s| s.whole_answers = false,
+        remove: |s| s.require_all_tasks = false,
     },
     Mutant {
         name: "begin limit",
-        remove: |s| s.begin_limit = false,
+        remove: |s| s.limit_start_time = false,
     },
 ];
--- a/crates/entry-sim/src/perform.rs
+++ b/crates/entry-sim/src/perform.rs
@@ -109,7 +109,7 @@
             .filter(|h| h.hall == hall && h.pulse == Pulse::Runs)
         {
             let now = host.clock(self.now);
-            for (shard, _) in host.core.ownership().held() {
+            for (shard, _) in host.core.ownership().held_shards() {
                 if host.core.ownership().right(shard, now).is_none() {
                     continue;
                 }
--- a/crates/entry-sim/src/starts.rs
+++ b/crates/entry-sim/src/starts.rs
@@ -132,7 +132,7 @@
         let host = &self.hosts[run.host];
         // Jobs of a shard that was handed over in order stay with their host,
         // under the epoch of then.
-        let held = host.core.ownership().held();
+        let held = host.core.ownership().held_shards();
         let believes = held.contains(&(start.shard.index, start.epoch));
         // A host that has taken its own shard back ends its older jobs.
         let own = shard.holder.as_ref() == Some(&host.core.settings().id);
--- a/crates/entry-sim/tests/planned.rs
+++ b/crates/entry-sim/tests/planned.rs
@@ -83,7 +83,7 @@
         at_ms: 10_000,
     }];
     let mut scenario = calm(1, planned);
-    scenario.safeguards.heed_leaving = false;
+    scenario.safeguards.exclude_leaving_targets = false;
     let (_, checks) = World::new(scenario).run();
     let found = |v: &Violation| matches!(v, Violation::StartOnLeaving(_));
     assert!(checks.violations.iter().any(found), "{:?}", checks.counts());
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -111,10 +111,10 @@
     /// Takes over what stands at a host.
     pub fn observe(&self, host: &Host) {
         self.shards
-            .record(host.ownership().held().len() as u64, &[]);
+            .record(host.ownership().held_shards().len() as u64, &[]);
         self.config_version.record(host.config().version(), &[]);
         self.jobs.record(host.running_jobs() as u64, &[]);
-        self.remembered.record(host.remembered() as u64, &[]);
+        self.remembered.record(host.ledger_len() as u64, &[]);
     }
 
     /// Returns all metrics as a reply over HTTP.
--- a/crates/entry/src/public_api.rs
+++ b/crates/entry/src/public_api.rs
@@ -92,12 +92,12 @@
         config_version: host.config().version(),
         shards: host
             .ownership()
-            .held()
+            .held_shards()
             .into_iter()
             .map(|(s, _)| s)
             .collect(),
         jobs: host.running_jobs(),
-        remembered: host.remembered(),
+        remembered: host.ledger_len(),
         targets: host.targets().len(),
         leaving: host.targets().leaving(),
     };
