--- a/crates/entry-core/src/host/calls.rs
+++ b/crates/entry-core/src/host/calls.rs
@@ -73,7 +73,6 @@
         self.actions.push(Action::Reply { token, reply });
     }
 
-    /// Sends an answer to the caller, or to the peer that forwarded the submission.
     /// Sends an answer to the caller, or to the peer that forwarded the submission.
     pub(super) fn answer(&mut self, waiter: Waiter, answer: Answer) {
         match waiter {
--- a/crates/entry-core/src/host/config_changes.rs
+++ b/crates/entry-core/src/host/config_changes.rs
@@ -39,7 +39,7 @@
     state: ChangeState,
     /// The configuration that results if the last attempt's write takes place.
     written: ConfigSnapshot,
-    give_up: Time,
+    give_up_at: Time,
     tries: u32,
 }
 
@@ -63,7 +63,7 @@
             request,
             state: CHANGE.initial(),
             written: ConfigSnapshot::default(),
-            give_up: self.now.plus_millis(CHANGE_TIMEOUT_MS),
+            give_up_at: self.now.plus_millis(CHANGE_TIMEOUT_MS),
             tries: 0,
         };
         self.changes.pending.insert(self.changes.last_key, change);
@@ -231,7 +231,7 @@
         CHANGE.advance(&mut change.state, event);
         change.tries += 1;
         let tries = change.tries;
-        if self.now < change.give_up {
+        if self.now < change.give_up_at {
             let wait_ms = backoff_ms(&mut self.rng, tries, BACKOFF_BASE_MS, MAX_BACKOFF_MS);
             return self.set_timer_in(wait_ms, Timer::Change(key));
         }
--- a/crates/entry-core/src/host/forward.rs
+++ b/crates/entry-core/src/host/forward.rs
@@ -72,8 +72,8 @@
         let Some(forward) = self.forwards.pending.get_mut(&key) else {
             return;
         };
-        let me = &self.settings.address;
-        let untried = |a: &Name| a != me && !forward.tried.contains(a);
+        let own_address = &self.settings.address;
+        let untried = |a: &Name| a != own_address && !forward.tried.contains(a);
         let known = self.directory.candidates(&forward.shard);
         let next = hint.into_iter().chain(known).find(untried);
         let Some(address) = next else {
@@ -129,7 +129,7 @@
 
     /// Starts the next round, or handles the submission here if this host has got the
     /// shard meanwhile.
-    pub(super) fn forward_again(&mut self, key: u64) {
+    pub(super) fn resume_forward(&mut self, key: u64) {
         let Some(forward) = self.forwards.pending.get(&key) else {
             return;
         };
--- a/crates/entry-core/src/host/quotas.rs
+++ b/crates/entry-core/src/host/quotas.rs
@@ -53,14 +53,14 @@
         let halls = account.halls.len() as f64;
         let held = self.ownership.held_shards().len() as f64;
         let part = quota / halls * held / f64::from(SHARDS_PER_HALL);
-        let near = self.live_hall_peers().flat_map(|p| p.usage.iter());
-        let near: u32 = near
+        let in_hall = self.live_hall_peers().flat_map(|p| p.usage.iter());
+        let in_hall: u32 = in_hall
             .filter(|(n, _)| n == name)
             .map(|(_, slots)| slots)
             .sum();
         Quota {
             total: quota,
-            elsewhere: f64::from(near + self.remote_usage.of(name, self.now)),
+            elsewhere: f64::from(in_hall + self.remote_usage.of(name, self.now)),
             minimum: part.max(MIN_QUOTA),
         }
     }
--- a/crates/entry-core/src/host/timers.rs
+++ b/crates/entry-core/src/host/timers.rs
@@ -139,7 +139,7 @@
             Timer::Requeue(job, index) => self.requeue(job, index),
             Timer::Query(call) => self.query_run(call),
             Timer::Straggler(call) => self.on_straggler(call),
-            Timer::Forward(forward) => self.forward_again(forward),
+            Timer::Forward(forward) => self.resume_forward(forward),
             Timer::Handover => self.continue_handover(),
             Timer::Update(shard, tries) => self.send_update(shard, tries),
             Timer::Change(change) => self.read_for_change(change),
--- a/crates/entry-core/tests/charts.rs
+++ b/crates/entry-core/tests/charts.rs
@@ -6,35 +6,35 @@
 use gannetridge_state_chart::{Chart, ChartError, ChartNames};
 
 #[test]
-fn all_charts_are_read() {
+fn all_charts_parse() {
     assert_eq!(TASK.initial(), TaskState::Queued);
     assert_eq!(SHARD.initial(), ShardState::Absent);
     let _ = (CHANGE.initial(), TARGET.initial());
 }
 
 #[test]
-fn a_task_goes_again_only_after_proof() {
-    let again = |state| {
+fn a_task_is_requeued_only_once_its_run_cannot_be_active() {
+    let events_to_queued = |state| {
         let events = TaskEvent::NAMES.iter().map(|(_, event)| *event);
         let to_queued = |e: &TaskEvent| TASK.next(state, *e) == Ok(TaskState::Queued);
         events.filter(to_queued).collect::<Vec<_>>()
     };
     assert_eq!(
-        again(TaskState::Sent),
+        events_to_queued(TaskState::Sent),
         [TaskEvent::Refused, TaskEvent::NotSent]
     );
     assert_eq!(
-        again(TaskState::Asking),
+        events_to_queued(TaskState::Asking),
         [TaskEvent::Refused, TaskEvent::LeasePast]
     );
-    assert_eq!(again(TaskState::Failed), [TaskEvent::Repeated]);
+    assert_eq!(events_to_queued(TaskState::Failed), [TaskEvent::Repeated]);
     for state in [TaskState::Done, TaskState::Unknown, TaskState::Dropped] {
-        assert_eq!(again(state), []);
+        assert_eq!(events_to_queued(state), []);
     }
 }
 
 #[test]
-fn nothing_is_started_under_a_shard_on_its_way() {
+fn a_shard_being_handed_over_cannot_be_acquired() {
     let state = SHARD.next(ShardState::Held, ShardEvent::Offered);
     assert_eq!(state, Ok(ShardState::HandingOver));
     assert!(SHARD
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn charts_with_unknown_names_are_refused() {
+fn charts_with_unknown_or_missing_names_are_refused() {
     let states = parse("name = \"x\"\ninitial = \"queued\"\n[transitions.asleep]\n");
     assert!(matches!(states, Err(ChartError::UnknownState(name)) if name == "asleep"));
     let events =
