--- a/crates/entry-core/src/health.rs
+++ b/crates/entry-core/src/health.rs
@@ -10,7 +10,8 @@
 
 /// Consecutive failures after which a target is ejected.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// Duration of the first ejection, in ms; it doubles with each further one.
+/// Duration of the first ejection, in ms; it doubles with each further one until the
+/// target has recovered.
 const FIRST_EJECTION_MS: u64 = 1_000;
 /// Longest duration of an ejection, in ms.
 const MAX_EJECTION_MS: u64 = 30_000;
@@ -90,8 +91,8 @@
         (((self.run_time_ratio - SLOW_RATIO) / RANK_WIDTH) as u32 + 1).min(MAX_RANK)
     }
 
-    /// Records a task that ended. `ratio` is its run time over the expected one,
-    /// relative to the average of all targets.
+    /// Records a task that ended with an output. `ratio` is its run time over the expected
+    /// one, relative to the average of all targets.
     pub fn record_success(&mut self, ratio: f32) {
         self.run_time_ratio += (ratio - self.run_time_ratio) * LATEST_WEIGHT;
         self.consecutive_failures = 0;
--- a/crates/entry-core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger: the submissions that a host owns, and their outcomes.
 //!
-//! It makes a submission that is sent repeatedly run at most once, and supplies the
-//! records that go with a shard to its new holder.
+//! It ensures that a submission that is sent repeatedly runs at most once, and supplies
+//! the records that a shard's new holder needs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
--- a/crates/entry-core/src/settings.rs
+++ b/crates/entry-core/src/settings.rs
@@ -38,7 +38,7 @@
     pub skew_ms: u64,
     /// Largest amount by which a caller's clock is ahead.
     pub caller_skew_ms: u64,
-    /// Longest time for which a holder may act without access to the table.
+    /// Longest time after the end of its lease for which a holder may act without the table.
     pub outage_limit_ms: u64,
     /// Time between reads of the configuration's version.
     pub config_poll_ms: u64,
