--- a/crates/entry-config/src/document.rs
+++ b/crates/entry-config/src/document.rs
@@ -13,7 +13,7 @@
 
 /// The kinds of documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum DocumentKind {
     /// A kind of job.
     Template,
     /// A client account.
@@ -22,7 +22,7 @@
     Hall,
 }
 
-impl Kind {
+impl DocumentKind {
     /// Returns the word that stands in keys and paths.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DocumentKey {
     /// The kind.
-    pub kind: Kind,
+    pub kind: DocumentKind,
     /// The name.
     pub name: Name,
 }
@@ -61,9 +61,9 @@
         let error = || DocumentKeyError(text.to_owned());
         let (kind, name) = text.split_once('/').ok_or_else(error)?;
         let kind = match kind {
-            "template" => Kind::Template,
-            "account" => Kind::Account,
-            "hall" => Kind::Hall,
+            "template" => DocumentKind::Template,
+            "account" => DocumentKind::Account,
+            "hall" => DocumentKind::Hall,
             _ => return Err(error()),
         };
         let allowed = |c: char| c.is_ascii_alphanumeric() || "-_".contains(c);
@@ -94,16 +94,16 @@
     /// # Errors
     ///
     /// Fails with all faults found, each with `file` before it.
-    pub fn read(kind: Kind, file: &str, text: &str) -> Result<Self, Faults> {
+    pub fn read(kind: DocumentKind, file: &str, text: &str) -> Result<Self, Faults> {
         let table: Table = match text.parse() {
             Ok(table) => table,
             Err(error) => return Err(not_toml(file, &error)),
         };
         let mut faults = Vec::new();
         let document = match kind {
-            Kind::Template => Self::Template(Template::read(file, table, &mut faults)),
-            Kind::Account => Self::Account(Account::read(file, table, &mut faults)),
-            Kind::Hall => Self::Hall(Hall::read(file, table, &mut faults)),
+            DocumentKind::Template => Self::Template(Template::read(file, table, &mut faults)),
+            DocumentKind::Account => Self::Account(Account::read(file, table, &mut faults)),
+            DocumentKind::Hall => Self::Hall(Hall::read(file, table, &mut faults)),
         };
         if faults.is_empty() {
             Ok(document)
@@ -128,10 +128,15 @@
         let mut faults = Vec::new();
         for hall in &account.halls {
             if !others.contains_key(&DocumentKey {
-                kind: Kind::Hall,
+                kind: DocumentKind::Hall,
                 name: hall.clone(),
             }) {
-                faults.push(fault(file, "halls", hall, names_of(others, Kind::Hall)));
+                faults.push(fault(
+                    file,
+                    "halls",
+                    hall,
+                    names_of(others, DocumentKind::Hall),
+                ));
             }
         }
         for (name, values) in &account.templates {
@@ -162,11 +167,11 @@
     faults: &mut Vec<Fault>,
 ) {
     let key = DocumentKey {
-        kind: Kind::Template,
+        kind: DocumentKind::Template,
         name: name.into(),
     };
     let Some(Document::Template(template)) = others.get(&key) else {
-        let allowed = names_of(others, Kind::Template);
+        let allowed = names_of(others, DocumentKind::Template);
         faults.push(fault(file, &format!("templates.{name}"), name, allowed));
         return;
     };
@@ -179,7 +184,12 @@
                 faults.push(fault(file, &path, key, allowed));
             }
             Some(rule) if !rule.admits(value) => {
-                faults.push(fault(file, &path, &format!("{value:?}"), rule.allowed()));
+                faults.push(fault(
+                    file,
+                    &path,
+                    &format!("{value:?}"),
+                    rule.allowed_description(),
+                ));
             }
             Some(_) => {}
         }
@@ -195,7 +205,7 @@
     }
 }
 
-fn names_of(others: &BTreeMap<DocumentKey, Document>, kind: Kind) -> String {
+fn names_of(others: &BTreeMap<DocumentKey, Document>, kind: DocumentKind) -> String {
     let names: Vec<&str> = others
         .keys()
         .filter(|key| key.kind == kind)
--- a/crates/entry-config/src/lib.rs
+++ b/crates/entry-config/src/lib.rs
@@ -11,6 +11,6 @@
 
 pub use account::{Account, Urgency};
 pub use check::{Fault, Faults};
-pub use document::{Document, DocumentKey, DocumentKeyError, Kind};
+pub use document::{Document, DocumentKey, DocumentKeyError, DocumentKind};
 pub use hall::{Hall, HallState};
 pub use template::{ParameterRule, Template};
--- a/crates/entry-config/src/template.rs
+++ b/crates/entry-config/src/template.rs
@@ -59,7 +59,7 @@
 
     /// Says what the rule allows.
     #[must_use]
-    pub fn allowed(&self) -> String {
+    pub fn allowed_description(&self) -> String {
         match self {
             Self::Bool { .. } => "true or false".to_owned(),
             Self::Int { min, max, .. } => format!("a whole number from {min} to {max}"),
--- a/crates/entry-config/tests/bad_input.rs
+++ b/crates/entry-config/tests/bad_input.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_entry_config::{Document, DocumentKey, Kind};
+use gannetridge_entry_config::{Document, DocumentKey, DocumentKind};
 
 /// Declares tests, each a name, a kind and a bad document.
 macro_rules! bad_documents {
@@ -17,13 +17,13 @@
 }
 
 bad_documents! {
-    no_toml: Kind::Hall, "state = ";
-    unknown_state: Kind::Hall, "state = \"shut\"";
-    unknown_keys: Kind::Hall, "stat = \"open\"\ncolour = 3";
-    template_without_time: Kind::Template, "max-tasks = 2000";
-    template_with_bad_rules: Kind::Template,
+    no_toml: DocumentKind::Hall, "state = ";
+    unknown_state: DocumentKind::Hall, "state = \"shut\"";
+    unknown_keys: DocumentKind::Hall, "stat = \"open\"\ncolour = 3";
+    template_without_time: DocumentKind::Template, "max-tasks = 2000";
+    template_with_bad_rules: DocumentKind::Template,
         "expected-ms = 0\n[parameters.a]\ntype = \"colour\"\n[parameters.b]\ntype = \"int\"\nmin = 5\nmax = 1\ndefault = 9\n[parameters.c]\ntype = \"text\"\nallowed = [\"x\"]\ndefault = \"y\"";
-    account_with_everything_wrong: Kind::Account,
+    account_with_everything_wrong: DocumentKind::Account,
         "halls = []\nurgency = \"now\"\nquota-slots = \"many\"\nrepeatable = 1\nhals = 2\n[templates.t]\nlist = [1]";
 }
 
@@ -35,10 +35,11 @@
     let key: DocumentKey = "template/turn".parse().expect("a key");
     others.insert(
         key,
-        Document::read(Kind::Template, "t", template).expect("a good template"),
+        Document::read(DocumentKind::Template, "t", template).expect("a good template"),
     );
     let text = "halls = [\"nowhere\"]\nquota-slots = 1\n[templates.turn]\ndepth = 9\nwidth = 1\n[templates.other]\n";
-    let account = Document::read(Kind::Account, "a.toml", text).expect("in order by itself");
+    let account =
+        Document::read(DocumentKind::Account, "a.toml", text).expect("in order by itself");
     let faults = account
         .check_references("a.toml", &others)
         .expect_err("bad references");
@@ -48,6 +49,6 @@
 #[test]
 fn good_documents_are_read() {
     let account = "halls = [\"a\"]\nquota-slots = 4\n[templates.t]\ndepth = 3\n";
-    assert!(Document::read(Kind::Account, "a", account).is_ok());
-    assert!(Document::read(Kind::Hall, "h", "").is_ok());
+    assert!(Document::read(DocumentKind::Account, "a", account).is_ok());
+    assert!(Document::read(DocumentKind::Hall, "h", "").is_ok());
 }
--- a/crates/entry-core/src/config_store.rs
+++ b/crates/entry-core/src/config_store.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use gannetridge_entry_config::hall::HallState;
-use gannetridge_entry_config::{Account, Document, DocumentKey, Kind, Template};
+use gannetridge_entry_config::{Account, Document, DocumentKey, DocumentKind, Template};
 use gannetridge_entry_wire::peer::{ConfigDoc, ConfigSnapshot};
 use gannetridge_wire::Name;
 
@@ -81,7 +81,7 @@
     #[must_use]
     pub fn template(&self, name: &Name) -> Option<&Template> {
         let key = DocumentKey {
-            kind: Kind::Template,
+            kind: DocumentKind::Template,
             name: name.clone(),
         };
         match self.documents.get(&key)? {
--- a/crates/entry-core/src/event.rs
+++ b/crates/entry-core/src/event.rs
@@ -2,7 +2,7 @@
 
 use gannetridge_entry_config::DocumentKey;
 use gannetridge_entry_wire::peer::{ConfigDoc, PeerReply, PeerRequest};
-use gannetridge_entry_wire::platform::{HostList, TableFailure, TableResult};
+use gannetridge_entry_wire::platform::{TableFailure, TableResult, TargetList};
 use gannetridge_entry_wire::target::TaskReport;
 use gannetridge_entry_wire::Submission;
 use gannetridge_wire::Name;
@@ -97,7 +97,7 @@
         reply: Result<TableResult, TableFailure>,
     },
     /// The platform's list of targets was read.
-    Listed(HostList),
+    Listed(TargetList),
     /// An operator requests a change.
     Change {
         /// Identifies the request in its answer.
--- a/crates/entry-core/src/host/accept.rs
+++ b/crates/entry-core/src/host/accept.rs
@@ -89,7 +89,8 @@
         for (key, value) in &submission.parameters {
             let rule = template.parameters.get(key);
             if !rule.is_some_and(|r| r.admits(value)) {
-                let allowed = rule.map_or("no such parameter".to_owned(), |r| r.allowed());
+                let allowed =
+                    rule.map_or("no such parameter".to_owned(), |r| r.allowed_description());
                 let key = key.clone();
                 return Err(Rejection::Parameter { key, allowed });
             }
--- a/crates/entry-core/src/host/config_changes.rs
+++ b/crates/entry-core/src/host/config_changes.rs
@@ -146,7 +146,7 @@
             changes,
         };
         if let Some(change) = self.changes.pending.get_mut(&key) {
-            change.written = read.snapshot.with(doc.clone());
+            change.written = read.snapshot.with_doc(doc.clone());
         }
         let doc_row = read.doc_rows.iter().find(|(n, _)| *n == name);
         let check = |key: Name, version| Check { key, version };
--- a/crates/entry-core/src/host/ends.rs
+++ b/crates/entry-core/src/host/ends.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gannetridge_entry_wire::answer::Refusal;
-use gannetridge_entry_wire::{Answer, FailureCause, Ran};
+use gannetridge_entry_wire::{Answer, FailureCause, RunStatus};
 
 use super::run::QUERY_MAX_BACKOFF_MS;
 use super::timers::Timer;
@@ -36,7 +36,11 @@
         }
         self.queue.remove_job(job.queue, job.due, key);
         let answer = if may_have_run {
-            let ran = if job.has_run { Ran::Ran } else { Ran::Unknown };
+            let ran = if job.has_run {
+                RunStatus::Ran
+            } else {
+                RunStatus::Unknown
+            };
             Answer::Failed { cause, ran }
         } else {
             let reason = match cause {
--- a/crates/entry-core/src/host/mod.rs
+++ b/crates/entry-core/src/host/mod.rs
@@ -39,7 +39,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use gannetridge_entry_wire::platform::HostList;
+use gannetridge_entry_wire::platform::TargetList;
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 use rand::SeedableRng;
@@ -90,7 +90,7 @@
     running: HashMap<CallId, RunningTask>,
     targets: Targets,
     /// The platform's list as last read, also for peers that start without it.
-    list: Option<HostList>,
+    list: Option<TargetList>,
     queue: Queue,
     borrowed: BorrowedSlots,
     lent: LentLoans,
--- a/crates/entry-core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -7,7 +7,7 @@
 
 use gannetridge_entry_wire::answer::Refusal;
 use gannetridge_entry_wire::peer::PeerReply;
-use gannetridge_entry_wire::{Answer, FailureCause, Ran, Rejection, Submission};
+use gannetridge_entry_wire::{Answer, FailureCause, Rejection, RunStatus, Submission};
 
 use super::Host;
 use crate::action::{Note, Waste};
@@ -128,7 +128,7 @@
         let failed = |cause| {
             Some(Answer::Failed {
                 cause,
-                ran: Ran::Unknown,
+                ran: RunStatus::Unknown,
             })
         };
         if created <= right.cutoff && self.settings.safeguards.takeover_cutoff {
--- a/crates/entry-core/src/host/sync.rs
+++ b/crates/entry-core/src/host/sync.rs
@@ -2,7 +2,7 @@
 //! from peers.
 
 use gannetridge_entry_wire::peer::{ConfigSnapshot, PeerReply, PeerRequest};
-use gannetridge_entry_wire::platform::{HostList, TableFailure, TableOp, TableResult};
+use gannetridge_entry_wire::platform::{TableFailure, TableOp, TableResult, TargetList};
 use gannetridge_wire::Name;
 
 use super::calls::CallPurpose;
@@ -90,7 +90,7 @@
     }
 
     /// Applies the platform's list, or the changes in it.
-    pub(super) fn apply_list(&mut self, update: HostList) {
+    pub(super) fn apply_list(&mut self, update: TargetList) {
         let mut update = update;
         if !self.settings.safeguards.exclude_leaving_targets {
             update.targets.iter_mut().for_each(|t| t.leaving = false);
--- a/crates/entry-core/src/host/updates.rs
+++ b/crates/entry-core/src/host/updates.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use gannetridge_entry_wire::peer::{LedgerRecord, PeerReply, PeerRequest};
-use gannetridge_entry_wire::{Answer, FailureCause, Ran};
+use gannetridge_entry_wire::{Answer, FailureCause, RunStatus};
 
 use super::calls::CallPurpose;
 use super::handover::HANDOVER_RETRY_MS;
@@ -110,7 +110,7 @@
         for key in self.ledger.overdue_elsewhere(before) {
             let answer = Answer::Failed {
                 cause: FailureCause::OwnerLost,
-                ran: Ran::Unknown,
+                ran: RunStatus::Unknown,
             };
             let entry = self.ledger.get_mut(&key).expect("just listed");
             entry.state = EntryState::Ended(Arc::new(answer.clone()));
--- a/crates/entry-core/src/ownership/handover.rs
+++ b/crates/entry-core/src/ownership/handover.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use gannetridge_entry_wire::hall::Member;
-use gannetridge_entry_wire::peer::{Handover, LedgerRecord, Taker, TakerPromise};
+use gannetridge_entry_wire::peer::{CandidatePromise, Handover, LedgerRecord, TakeoverCandidate};
 use gannetridge_entry_wire::{HostId, Time};
 
 use super::{HandoverDecision, HolderLease, Ownership};
@@ -107,9 +107,9 @@
     }
 
     /// Returns a possible successor with its known address.
-    fn taker(&self, id: &HostId) -> Taker {
+    fn taker(&self, id: &HostId) -> TakeoverCandidate {
         let address = self.incarnations.address(id).cloned();
-        Taker {
+        TakeoverCandidate {
             id: id.clone(),
             // With an empty address the receiver can't detect that the host has ended.
             address: address.unwrap_or_default(),
@@ -123,12 +123,12 @@
     }
 
     /// Returns the promises received for a holder's shards.
-    pub(super) fn promises_for(&self, holder: &HostId) -> Vec<TakerPromise> {
+    pub(super) fn promises_for(&self, holder: &HostId) -> Vec<CandidatePromise> {
         let promises = self
             .promises_received
             .iter()
             .filter(|((h, _), _)| h == holder);
-        let promise = |((_, taker), until): (&(HostId, HostId), &Time)| TakerPromise {
+        let promise = |((_, taker), until): (&(HostId, HostId), &Time)| CandidatePromise {
             taker: taker.clone(),
             until: *until,
         };
--- a/crates/entry-core/src/targets/mod.rs
+++ b/crates/entry-core/src/targets/mod.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use gannetridge_entry_wire::platform::{HostList, ListedTarget};
+use gannetridge_entry_wire::platform::{ListedTarget, TargetList};
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 use xxhash_rust::xxh3::xxh3_64;
@@ -152,7 +152,7 @@
     }
 
     /// Applies the platform's whole list as read at `now`; it may lag by `lag_ms`.
-    pub fn apply_list(&mut self, list: &HostList, now: Time, lag_ms: u64) {
+    pub fn apply_list(&mut self, list: &TargetList, now: Time, lag_ms: u64) {
         let mut unlisted: BTreeSet<Name> = self.by_name.keys().cloned().collect();
         for entry in &list.targets {
             unlisted.remove(&entry.name);
--- a/crates/entry-sim/src/load.rs
+++ b/crates/entry-sim/src/load.rs
@@ -1,6 +1,6 @@
 //! Jobs that come, and when their callers send them.
 
-use gannetridge_entry_standins::runner::usual_ms;
+use gannetridge_entry_standins::runner::nominal_run_ms;
 use gannetridge_entry_wire::{Submission, SubmissionId, TaskSpec};
 use rand::Rng;
 
@@ -119,7 +119,7 @@
         let measured = self.callers.jobs.iter().filter(|job| job.measured);
         let times = |job: &CallerJob| {
             let tasks = job.submission.tasks.iter();
-            tasks.map(|task| usual_ms(&task.input)).collect()
+            tasks.map(|task| nominal_run_ms(&task.input)).collect()
         };
         measured
             .map(|job| TraceJob {
--- a/crates/entry-sim/src/platform.rs
+++ b/crates/entry-sim/src/platform.rs
@@ -1,7 +1,7 @@
 //! The platform in the driver: a table and a list that lag, fail and lose
 //! answers.
 
-use gannetridge_entry_standins::list::LoggedList;
+use gannetridge_entry_standins::list::VersionedTargetList;
 use gannetridge_entry_standins::table::Table;
 use gannetridge_entry_wire::platform::{TableFailure, TableOp, TableResult};
 
@@ -33,7 +33,7 @@
     /// True while the list keeps to what it was.
     pub list_stale: bool,
     /// The list as hosts get it.
-    pub list: LoggedList,
+    pub list: VersionedTargetList,
 }
 
 impl Platform {
--- a/crates/entry-sim/src/starts.rs
+++ b/crates/entry-sim/src/starts.rs
@@ -1,7 +1,7 @@
 //! Starts and questions on their way to runners, and what runners say.
 
 use gannetridge_entry_core::SendFailure;
-use gannetridge_entry_standins::runner::usual_ms;
+use gannetridge_entry_standins::runner::nominal_run_ms;
 use gannetridge_entry_wire::hall::{hall_key, HallRow};
 use gannetridge_entry_wire::target::{AskTask, StartTask, TaskReport};
 use gannetridge_entry_wire::{TaskId, Time};
@@ -70,7 +70,7 @@
             return self.at(us, ev);
         }
         let clock = shift(self.now, place.offset_us);
-        if let Err(report) = place.book.begin(&start, clock) {
+        if let Err(report) = place.book.start(&start, clock) {
             return self.runner_says(runner, from, report);
         }
         place.calls.push(from);
@@ -80,7 +80,7 @@
         // runner that wakes ends lapsed tasks before anything else.
         self.at(start.lease_ms * 1_000, Ev::LeaseOver(start.task.clone()));
         let place = &self.runners[runner];
-        let usual = usual_ms(&start.input) as f64 * place.slower;
+        let usual = nominal_run_ms(&start.input) as f64 * place.slower;
         let ran_ms = (usual as u64).min(start.lease_ms);
         let report = if usual as u64 <= start.lease_ms {
             TaskReport::Done {
@@ -171,10 +171,10 @@
             let us = place.frozen_until.micros_since(self.now);
             return self.at(us, Ev::Ask { runner, from, ask });
         }
-        let mut report = place.book.ask(&ask);
+        let mut report = place.book.query(&ask);
         if report == TaskReport::Running && ask.stop {
             report = TaskReport::Failed { ran_ms: 0 };
-            place.book.end(&ask.task, report.clone());
+            place.book.record_end(&ask.task, report.clone());
             self.checks.over(&ask.task);
             report = TaskReport::Running;
         }
@@ -207,14 +207,14 @@
             return self.at(us, end);
         }
         place.calls.retain(|call| *call != to);
-        let stopped = place.book.ended(&task);
+        let stopped = place.book.end_report(&task);
         let lapsed = self.now > lease_end;
         let report = match stopped {
             Some(report) => report,
             None if lapsed => TaskReport::Failed { ran_ms: 0 },
             None => report,
         };
-        place.book.end(&task, report.clone());
+        place.book.record_end(&task, report.clone());
         self.checks.over(&task);
         self.runner_says(runner, to, report);
     }
@@ -224,7 +224,7 @@
         let place = &mut self.runners[runner];
         place.alive = false;
         place.life += 1;
-        for task in place.book.running() {
+        for task in place.book.running_tasks() {
             self.checks.over(&task);
         }
         // Its connections break.
--- a/crates/entry-standins/src/list.rs
+++ b/crates/entry-standins/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_entry_wire::platform::{HostList, ListedTarget};
+use gannetridge_entry_wire::platform::{ListedTarget, TargetList};
 use gannetridge_wire::Name;
 
 /// Targets that are gone and still told of; older ones make a reader get the
@@ -11,7 +11,7 @@
 
 /// A list that can tell what changed since a version.
 #[derive(Clone, Debug, Default)]
-pub struct LoggedList {
+pub struct VersionedTargetList {
     version: u64,
     targets: BTreeMap<Name, (u64, ListedTarget)>,
     gone: BTreeMap<u64, Name>,
@@ -19,7 +19,7 @@
     forgotten: u64,
 }
 
-impl LoggedList {
+impl VersionedTargetList {
     /// Takes over what the targets are now.
     pub fn refresh(&mut self, targets: Vec<ListedTarget>) {
         let names: BTreeMap<&Name, ()> = targets.iter().map(|t| (&t.name, ())).collect();
@@ -56,17 +56,17 @@
     /// Returns what has changed since a version, or the whole list for
     /// version 0 and for those that are not remembered.
     #[must_use]
-    pub fn read(&self, after: u64) -> HostList {
+    pub fn read(&self, after: u64) -> TargetList {
         let known = after > 0 && after >= self.forgotten && after <= self.version;
         if !known {
             let targets = self.targets.values().map(|(_, t)| t.clone()).collect();
-            return HostList::whole(self.version, targets);
+            return TargetList::whole(self.version, targets);
         }
         let changed = self.targets.values().filter(|(v, _)| *v > after);
         let gone = self.gone.range(after + 1..).map(|(_, name)| name);
         // A name that came back is listed, not gone.
         let gone = gone.filter(|name| !self.targets.contains_key(*name));
-        HostList {
+        TargetList {
             version: self.version,
             whole: false,
             targets: changed.map(|(_, t)| t.clone()).collect(),
--- a/crates/entry-standins/src/platform.rs
+++ b/crates/entry-standins/src/platform.rs
@@ -12,7 +12,7 @@
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::list::LoggedList;
+use crate::list::VersionedTargetList;
 use crate::table::Table;
 
 /// A target as the settings name it.
@@ -74,7 +74,7 @@
     objects: BTreeMap<String, Vec<u8>>,
     targets: Vec<TargetSettings>,
     faults: Faults,
-    list: LoggedList,
+    list: VersionedTargetList,
 }
 
 /// The platform's stand-in. Clones share its state.
--- a/crates/entry-standins/src/runner.rs
+++ b/crates/entry-standins/src/runner.rs
@@ -71,7 +71,7 @@
     /// # Errors
     ///
     /// Fails with what is to be answered at once if the task isn't begun.
-    pub fn begin(&mut self, start: &StartTask, now: Time) -> Result<(), TaskReport> {
+    pub fn start(&mut self, start: &StartTask, now: Time) -> Result<(), TaskReport> {
         let refused = |reason| Err(TaskReport::Refused { reason });
         match self.tasks.get(&start.task) {
             Some(Known::Running { .. }) => return Err(TaskReport::Running),
@@ -100,7 +100,7 @@
     }
 
     /// Notes how a running task ended.
-    pub fn end(&mut self, task: &TaskId, report: TaskReport) {
+    pub fn record_end(&mut self, task: &TaskId, report: TaskReport) {
         if let Some(Known::Running { .. }) = self.tasks.get(task) {
             self.busy -= 1;
             self.tasks.insert(task.clone(), Known::Ended(report));
@@ -111,7 +111,7 @@
     ///
     /// A start sent less than half a second after the process began may
     /// have reached the one before it.
-    pub fn ask(&mut self, ask: &AskTask) -> TaskReport {
+    pub fn query(&mut self, ask: &AskTask) -> TaskReport {
         match self.tasks.get_mut(&ask.task) {
             Some(Known::Running { stop }) => {
                 *stop |= ask.stop;
@@ -140,7 +140,7 @@
 
     /// Returns how a task ended, if it did.
     #[must_use]
-    pub fn ended(&self, task: &TaskId) -> Option<TaskReport> {
+    pub fn end_report(&self, task: &TaskId) -> Option<TaskReport> {
         match self.tasks.get(task) {
             Some(Known::Ended(report)) => Some(report.clone()),
             _ => None,
@@ -149,7 +149,7 @@
 
     /// Returns the tasks that run.
     #[must_use]
-    pub fn running(&self) -> Vec<TaskId> {
+    pub fn running_tasks(&self) -> Vec<TaskId> {
         let running = |(_, known): &(&TaskId, &Known)| matches!(known, Known::Running { .. });
         let mut ids: Vec<TaskId> = self
             .tasks
@@ -192,7 +192,7 @@
 
 /// Returns how long a task takes on a runner of ordinary speed, in ms.
 #[must_use]
-pub fn usual_ms(input: &str) -> u64 {
+pub fn nominal_run_ms(input: &str) -> u64 {
     let named = input.strip_prefix("run-ms=");
     let digits = named.map(|rest| rest.split_whitespace().next().unwrap_or_default());
     digits.and_then(|d| d.parse().ok()).unwrap_or(USUAL_MS)
--- a/crates/entry-standins/src/worker.rs
+++ b/crates/entry-standins/src/worker.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::platform::{bad, json};
-use crate::runner::{usual_ms, Runner};
+use crate::runner::{nominal_run_ms, Runner};
 
 /// How often a running task looks whether it must end.
 const LOOK: Duration = Duration::from_millis(5);
@@ -97,7 +97,7 @@
             },
             "/v1/tasks/ask" => match serde_json::from_slice(&req.body) {
                 Ok(ask) => {
-                    let report = self.state.borrow_mut().runner.ask(&ask);
+                    let report = self.state.borrow_mut().runner.query(&ask);
                     self.say(report).await
                 }
                 Err(error) => bad(&error),
@@ -125,7 +125,7 @@
     }
 
     async fn start(&self, start: StartTask) -> TaskReport {
-        let begun = self.state.borrow_mut().runner.begin(&start, now());
+        let begun = self.state.borrow_mut().runner.start(&start, now());
         if let Err(report) = begun {
             return report;
         }
@@ -139,14 +139,14 @@
         } else {
             TaskReport::Failed { ran_ms }
         };
-        state.runner.end(&start.task, report.clone());
+        state.runner.record_end(&start.task, report.clone());
         report
     }
 
     /// Runs a task. Tells how long, and whether to its end.
     async fn run(&self, start: &StartTask) -> (u64, bool) {
         let slower = self.state.borrow().faults.slower.max(1);
-        let whole = Duration::from_millis(usual_ms(&start.input) * slower);
+        let whole = Duration::from_millis(nominal_run_ms(&start.input) * slower);
         let lease = Duration::from_millis(start.lease_ms);
         let began = Instant::now();
         loop {
--- a/crates/entry-standins/tests/list.rs
+++ b/crates/entry-standins/tests/list.rs
@@ -1,7 +1,7 @@
 //! The list of targets: what changed since a version, and what it adds up to.
 
-use gannetridge_entry_standins::list::LoggedList;
-use gannetridge_entry_wire::platform::{HostList, ListedTarget};
+use gannetridge_entry_standins::list::VersionedTargetList;
+use gannetridge_entry_wire::platform::{ListedTarget, TargetList};
 
 fn target(name: &str, busy: u32, leaving: bool) -> ListedTarget {
     ListedTarget {
@@ -32,8 +32,8 @@
 /// Follows a list by its changes, checks that they add up to the whole list,
 /// and returns how many entries the last reading had.
 fn follow(steps: &[Step<'_>]) -> usize {
-    let mut list = LoggedList::default();
-    let mut known = HostList::default();
+    let mut list = VersionedTargetList::default();
+    let mut known = TargetList::default();
     let mut told = 0;
     for step in steps {
         list.refresh(step.iter().map(|(n, b, l)| target(n, *b, *l)).collect());
@@ -64,11 +64,11 @@
 
 #[test]
 fn a_version_that_is_not_known_gets_the_whole_list() {
-    let mut list = LoggedList::default();
+    let mut list = VersionedTargetList::default();
     list.refresh(vec![target("a", 0, false)]);
     let news = list.read(99);
     assert!(news.whole);
-    let mut known = HostList::whole(99, vec![target("old", 0, false)]);
+    let mut known = TargetList::whole(99, vec![target("old", 0, false)]);
     known.merge(news);
     assert_eq!(known.version, 1);
     assert_eq!(known.targets.len(), 1);
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_reply_that_comes_late_takes_nothing_back() {
-    let mut list = LoggedList::default();
+    let mut list = VersionedTargetList::default();
     list.refresh(vec![target("a", 0, false)]);
     let first = list.read(0);
     list.refresh(vec![target("a", 0, true)]);
--- a/crates/entry-standins/tests/runner.rs
+++ b/crates/entry-standins/tests/runner.rs
@@ -47,24 +47,24 @@
 #[test]
 fn starts_are_refused_with_their_reason() {
     let mut runner = Runner::new(1);
-    assert_eq!(runner.begin(&start(0, 3, 3), NOW), Ok(()));
-    assert_eq!(runner.begin(&start(0, 3, 3), NOW), Err(TaskReport::Running));
+    assert_eq!(runner.start(&start(0, 3, 3), NOW), Ok(()));
+    assert_eq!(runner.start(&start(0, 3, 3), NOW), Err(TaskReport::Running));
     assert_eq!(
-        runner.begin(&start(1, 3, 3), NOW),
+        runner.start(&start(1, 3, 3), NOW),
         refused(StartRefusal::Full)
     );
     assert_eq!(
-        runner.begin(&start(1, 2, 1), NOW),
+        runner.start(&start(1, 2, 1), NOW),
         refused(StartRefusal::StaleEpoch)
     );
     let late = NOW.plus_millis(11);
     assert_eq!(
-        runner.begin(&start(1, 3, 3), late),
+        runner.start(&start(1, 3, 3), late),
         refused(StartRefusal::TooLate)
     );
     runner.leaving = true;
     assert_eq!(
-        runner.begin(&start(1, 3, 3), NOW),
+        runner.start(&start(1, 3, 3), NOW),
         refused(StartRefusal::Leaving)
     );
 }
@@ -72,9 +72,9 @@
 #[test]
 fn a_task_asked_after_is_never_begun_later() {
     let mut runner = Runner::new(8);
-    assert_eq!(runner.ask(&ask(0, NOW)), TaskReport::NeverBegun);
+    assert_eq!(runner.query(&ask(0, NOW)), TaskReport::NeverBegun);
     assert_eq!(
-        runner.begin(&start(0, 1, 0), NOW),
+        runner.start(&start(0, 1, 0), NOW),
         Err(TaskReport::NeverBegun)
     );
 }
@@ -84,9 +84,9 @@
 #[test]
 fn a_restarted_runner_says_over_as_often_as_it_is_asked() {
     let mut runner = Runner::new(8);
-    assert_eq!(runner.begin(&start(0, 1, 0), NOW), Ok(()));
+    assert_eq!(runner.start(&start(0, 1, 0), NOW), Ok(()));
     runner.restart(NOW.plus_millis(5));
     for _ in 0..3 {
-        assert_eq!(runner.ask(&ask(0, NOW)), TaskReport::Over);
+        assert_eq!(runner.query(&ask(0, NOW)), TaskReport::Over);
     }
 }
--- a/crates/entry-wire/src/answer.rs
+++ b/crates/entry-wire/src/answer.rs
@@ -7,7 +7,7 @@
 /// What is known of whether any task of a failed job ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ran {
+pub enum RunStatus {
     /// No task was started and none will be.
     NotRun,
     /// Some task may have run.
@@ -103,7 +103,7 @@
         /// Why.
         cause: FailureCause,
         /// What is known of whether it ran.
-        ran: Ran,
+        ran: RunStatus,
     },
     /// Nothing was run. The caller may come back with a new id.
     Refused {
--- a/crates/entry-wire/src/lib.rs
+++ b/crates/entry-wire/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod target;
 pub mod time;
 
-pub use answer::{Answer, FailureCause, Ran, Rejection, TaskResult};
+pub use answer::{Answer, FailureCause, Rejection, RunStatus, TaskResult};
 pub use ids::{Epoch, HostId, ShardId, SubmissionId, SubmissionIdError, TaskId};
 pub use submission::{Submission, TaskSpec};
 pub use time::Time;
--- a/crates/entry-wire/src/peer.rs
+++ b/crates/entry-wire/src/peer.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::platform::HostList;
+use crate::platform::TargetList;
 use crate::{Answer, Epoch, HostId, Submission, SubmissionId, Time};
 use gannetridge_wire::Name;
 
@@ -34,7 +34,7 @@
     /// Returns the snapshot as it is once `doc`, new or changed, is part of
     /// it. Its version is then the document's.
     #[must_use]
-    pub fn with(&self, doc: ConfigDoc) -> Self {
+    pub fn with_doc(&self, doc: ConfigDoc) -> Self {
         let others = self.docs.iter().filter(|d| d.key != doc.key);
         let mut docs: Vec<ConfigDoc> = others.cloned().collect();
         let version = doc.version;
@@ -122,7 +122,7 @@
 /// A host that may take over from a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Taker {
+pub struct TakeoverCandidate {
     /// The host.
     pub id: HostId,
     /// Where it was reached. A later run there proves that this one ended.
@@ -132,7 +132,7 @@
 /// A host's promise not to take over before a time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct TakerPromise {
+pub struct CandidatePromise {
     /// The host that promised.
     pub taker: HostId,
     /// The end of the promise.
@@ -169,9 +169,9 @@
     /// The latest time to which promises may extend the lease.
     pub promise_limit: Time,
     /// The hosts that may take over from the holder, less the sender.
-    pub takers: Vec<Taker>,
+    pub takers: Vec<TakeoverCandidate>,
     /// What those hosts have promised so far.
-    pub promises: Vec<TakerPromise>,
+    pub promises: Vec<CandidatePromise>,
     /// No later run of the holder takes its shards over before this time.
     pub heir_until: Time,
     /// What the sender remembers.
@@ -284,7 +284,7 @@
         /// A newer configuration.
         snapshot: Option<ConfigSnapshot>,
         /// The platform's list as the receiver last read it.
-        list: Option<HostList>,
+        list: Option<TargetList>,
     },
     /// The handover was meant for an earlier incarnation of the receiver.
     NotAddressee,
--- a/crates/entry-wire/src/platform.rs
+++ b/crates/entry-wire/src/platform.rs
@@ -109,7 +109,7 @@
 /// The platform's lagging list, or what has changed in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct HostList {
+pub struct TargetList {
     /// Grows with each change of the list; 0 for a list that was never read.
     #[serde(default)]
     pub version: u64,
@@ -124,7 +124,7 @@
     pub gone: Vec<Name>,
 }
 
-impl HostList {
+impl TargetList {
     /// Creates a whole list.
     #[must_use]
     pub fn whole(version: u64, targets: Vec<ListedTarget>) -> Self {
--- a/crates/entry-wire/tests/codec.rs
+++ b/crates/entry-wire/tests/codec.rs
@@ -3,7 +3,7 @@
 use gannetridge_entry_wire::answer::{Refusal, TaskResult};
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest, Spare};
 use gannetridge_entry_wire::{
-    Answer, FailureCause, HostId, Ran, Rejection, Submission, SubmissionId, SubmissionIdError,
+    Answer, FailureCause, HostId, Rejection, RunStatus, Submission, SubmissionId, SubmissionIdError,
 };
 use gannetridge_wire::codec::{decode, encode, CodecError};
 
@@ -39,7 +39,7 @@
     complete: Answer::Complete {
         results: vec![TaskResult { index: 0, output: "ok".to_owned() }],
     };
-    failed: Answer::Failed { cause: FailureCause::OwnerLost, ran: Ran::Unknown };
+    failed: Answer::Failed { cause: FailureCause::OwnerLost, ran: RunStatus::Unknown };
     refused: Answer::Refused { reason: Refusal::NoCapacity, retry_after_ms: 7 };
     pending: Answer::Pending { retry_after_ms: 9 };
     rejected: Answer::Rejected {
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use gannetridge_entry_core::{CallId, Event, SendFailure};
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
-use gannetridge_entry_wire::platform::{HostList, TableFailure, TableOp, TableResult};
+use gannetridge_entry_wire::platform::{TableFailure, TableOp, TableResult, TargetList};
 use gannetridge_entry_wire::target::{AskTask, StartTask, TaskReport};
 use gannetridge_net::{CallError, Client};
 use gannetridge_wire::codec;
@@ -192,7 +192,7 @@
                     .call(this.platform, Method::GET, &path, JSON, body, PLATFORM_WAIT);
             // What fails is read again with the next poll.
             match sent.await {
-                Ok(reply) => match serde_json::from_slice::<HostList>(&reply.body) {
+                Ok(reply) => match serde_json::from_slice::<TargetList>(&reply.body) {
                     Ok(list) => this.tell(Event::Listed(list)),
                     Err(error) => warn!(%error, "unreadable list of targets"),
                 },
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -3,7 +3,7 @@
 
 use gannetridge_entry_core::ChangeAnswer;
 use gannetridge_entry_wire::peer::ConfigDoc;
-use gannetridge_entry_wire::{Answer, FailureCause, Ran, Rejection};
+use gannetridge_entry_wire::{Answer, FailureCause, Rejection, RunStatus};
 use gannetridge_net::message::PROBLEM_JSON;
 use gannetridge_net::HttpReply;
 use http::StatusCode;
@@ -17,7 +17,7 @@
     title: &'a str,
     status: u16,
     #[serde(skip_serializing_if = "Option::is_none")]
-    ran: Option<Ran>,
+    ran: Option<RunStatus>,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -81,7 +81,7 @@
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let mut problem = Problem::new(status, "not-run", "The request was not run");
             problem.reason = json_of(reason);
-            problem.ran = Some(Ran::NotRun);
+            problem.ran = Some(RunStatus::NotRun);
             problem.retry_after_ms = Some(*retry_after_ms);
             problem.reply()
         }
@@ -89,7 +89,7 @@
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let title = "The outcome isn't known here yet; send the same id again";
             let mut problem = Problem::new(status, "outcome-pending", title);
-            problem.ran = Some(Ran::Unknown);
+            problem.ran = Some(RunStatus::Unknown);
             problem.retry_after_ms = Some(*retry_after_ms);
             problem.reply()
         }
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use anyhow::Context;
-use gannetridge_entry_config::{Document, Faults, Kind};
+use gannetridge_entry_config::{Document, DocumentKind, Faults};
 use gumdrop::Options;
 
 /// Options of `check`.
@@ -20,9 +20,9 @@
 /// Checks each file and reports the faults of all of them.
 pub fn run(options: &Check) -> anyhow::Result<()> {
     let kind = match options.kind.as_deref() {
-        Some("template") => Kind::Template,
-        Some("account") => Kind::Account,
-        Some("hall") => Kind::Hall,
+        Some("template") => DocumentKind::Template,
+        Some("account") => DocumentKind::Account,
+        Some("hall") => DocumentKind::Hall,
         _ => anyhow::bail!("--kind takes template, account or hall"),
     };
     let mut faults = Vec::new();
@@ -39,7 +39,7 @@
 }
 
 /// Reads a document file and checks it by itself.
-pub fn read(kind: Kind, path: &Path) -> anyhow::Result<Result<String, Faults>> {
+pub fn read(kind: DocumentKind, path: &Path) -> anyhow::Result<Result<String, Faults>> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).with_context(|| format!("can't read {file}"))?;
     Ok(Document::read(kind, &file, &text).map(|_| text))
