--- a/crates/entry-config/src/account.rs
+++ b/crates/entry-config/src/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: on whose behalf jobs run, where and how urgently.
+//! Client accounts: the halls, urgency, quota and templates of their jobs.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,22 @@
 use gannetridge_wire::Name;
 use toml::{Table, Value};
 
-use crate::check::{show, Checker, Fault};
+use crate::check::{describe_value, Fault, TableReader};
 
-/// How an account's jobs go before others'.
+/// The scheduling class of an account's jobs; the derived order puts the most
+/// urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
-    /// Before all others.
+    /// Goes before all others.
     Urgent,
-    /// The default.
+    /// Applies where the document names none.
     Normal,
-    /// After all others.
+    /// Goes after all others.
     Background,
 }
 
 impl Urgency {
-    /// Returns the name that operators write.
+    /// Returns the name used in documents.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -31,45 +32,46 @@
     }
 }
 
-/// A client account.
+/// A client account, on whose behalf jobs run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// The halls that it may use; the first is preferred.
+    /// The halls that its jobs may use, at least one; the first is preferred.
     pub halls: Vec<Name>,
-    /// How urgent its jobs are.
+    /// Applies to all of its jobs.
     pub urgency: Urgency,
-    /// Slots that it may use at a time over all halls.
+    /// The number of slots that it may use at the same time over all halls.
     pub quota_slots: u32,
-    /// Whether a task may run again once its earlier run is proved over.
+    /// True if a task may run again once its earlier run is known to have
+    /// ended.
     pub repeatable: bool,
-    /// Values for each template that it uses.
+    /// Parameter values by template and parameter name; the account may use
+    /// only these templates.
     pub templates: BTreeMap<String, BTreeMap<String, ParameterValue>>,
 }
 
 const KEYS: [&str; 5] = ["halls", "urgency", "quota-slots", "repeatable", "templates"];
 const URGENCIES: [&str; 3] = ["urgent", "normal", "background"];
-/// The largest quota that a document may give, in slots. Chosen, not measured.
-const MOST_SLOTS: i64 = 1_000_000;
+const MAX_QUOTA_SLOTS: i64 = 1_000_000;
 
 impl Account {
-    /// Reads an account and notes every fault that it has by itself.
+    /// Reads an account from a table and adds its faults to `faults`.
     pub(crate) fn read(file: &str, table: Table, faults: &mut Vec<Fault>) -> Self {
-        let mut checker = Checker::new(file, "", table, faults);
-        let halls = checker.names("halls");
-        let urgency = match checker.one_of("urgency", "normal", &URGENCIES).as_str() {
+        let mut reader = TableReader::new(file, "", table, faults);
+        let halls = reader.take_names("halls");
+        let urgency = match reader.take_one_of("urgency", "normal", &URGENCIES).as_str() {
             "urgent" => Urgency::Urgent,
             "background" => Urgency::Background,
             _ => Urgency::Normal,
         };
-        let quota_slots = checker.int("quota-slots", None, 1, MOST_SLOTS) as u32;
-        let repeatable = checker.bool("repeatable", false);
-        let tables = checker.tables("templates");
+        let quota_slots = reader.take_int("quota-slots", None, 1, MAX_QUOTA_SLOTS) as u32;
+        let repeatable = reader.take_bool("repeatable", false);
+        let tables = reader.take_tables("templates");
         let mut templates = BTreeMap::new();
         for (name, table) in tables {
-            let values = read_values(&mut checker, &name, table);
+            let values = read_values(&mut reader, &name, table);
             templates.insert(name, values);
         }
-        checker.finish(&KEYS);
+        reader.reject_unknown_keys(&KEYS);
         Self {
             halls: halls.into_iter().map(Name::from).collect(),
             urgency,
@@ -81,7 +83,7 @@
 }
 
 fn read_values(
-    checker: &mut Checker<'_>,
+    reader: &mut TableReader<'_>,
     template: &str,
     table: Table,
 ) -> BTreeMap<String, ParameterValue> {
@@ -93,7 +95,7 @@
             }
             None => {
                 let key = format!("templates.{template}.{key}");
-                checker.fault(&key, show(&value), "a truth value, number or text");
+                reader.add_fault(&key, describe_value(&value), "a boolean, number or text");
             }
         }
     }
--- a/crates/entry-config/src/check.rs
+++ b/crates/entry-config/src/check.rs
@@ -1,20 +1,21 @@
-//! Reads TOML tables key by key and gathers every fault.
+//! Reads TOML tables key by key and collects all faults, so that an operator
+//! sees them together.
 
 use std::fmt;
 
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// One fault of a document.
+/// One invalid, missing or unknown value in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file or document.
+    /// The name of the file or document.
     pub file: String,
-    /// The key, with dots.
+    /// The dotted path of the key; empty if the text isn't TOML.
     pub key: String,
-    /// What stands there.
+    /// The value found, or the parser's message.
     pub found: String,
-    /// What may stand there.
+    /// Describes the allowed values.
     pub allowed: String,
 }
 
@@ -46,16 +47,17 @@
     }
 }
 
-/// Takes values out of a table and notes what is wrong with them.
-pub struct Checker<'a> {
+/// Takes values out of a table, validates them and collects their faults.
+pub struct TableReader<'a> {
     file: &'a str,
     prefix: String,
     table: Table,
     faults: &'a mut Vec<Fault>,
 }
 
-impl<'a> Checker<'a> {
-    /// Creates a checker for a table of `file` that stands under `prefix`.
+impl<'a> TableReader<'a> {
+    /// Creates a reader for a table of `file`. `prefix` is put before each key
+    /// in faults; unless empty, it ends with a dot.
     pub fn new(file: &'a str, prefix: &str, table: Table, faults: &'a mut Vec<Fault>) -> Self {
         Self {
             file,
@@ -65,8 +67,8 @@
         }
     }
 
-    /// Notes a fault.
-    pub fn fault(&mut self, key: &str, found: impl Into<String>, allowed: impl Into<String>) {
+    /// Adds a fault.
+    pub fn add_fault(&mut self, key: &str, found: impl Into<String>, allowed: impl Into<String>) {
         self.faults.push(Fault {
             file: self.file.to_owned(),
             key: format!("{}{key}", self.prefix),
@@ -75,75 +77,81 @@
         });
     }
 
-    /// Takes a value that may be absent.
-    pub fn take(&mut self, key: &str) -> Option<Value> {
+    /// Takes a value of any type, if the key is present.
+    pub fn take_value(&mut self, key: &str) -> Option<Value> {
         self.table.remove(key)
     }
 
-    /// Takes a whole number within bounds, or the default where it is absent.
-    pub fn int(&mut self, key: &str, default: Option<i64>, min: i64, max: i64) -> i64 {
+    /// Takes an integer from `min` to `max`, or the default if the key is
+    /// absent. Adds a fault and returns `min` if the value is invalid, or
+    /// absent without a default.
+    pub fn take_int(&mut self, key: &str, default: Option<i64>, min: i64, max: i64) -> i64 {
         let allowed = format!("a whole number from {min} to {max}");
-        match (self.take(key), default) {
+        match (self.take_value(key), default) {
             (Some(Value::Integer(n)), _) if (min..=max).contains(&n) => n,
             (Some(other), _) => {
-                self.fault(key, show(&other), allowed);
+                self.add_fault(key, describe_value(&other), allowed);
                 min
             }
             (None, Some(default)) => default,
             (None, None) => {
-                self.fault(key, "nothing", allowed);
+                self.add_fault(key, "nothing", allowed);
                 min
             }
         }
     }
 
-    /// Takes a truth value, or the default where it is absent.
-    pub fn bool(&mut self, key: &str, default: bool) -> bool {
-        match self.take(key) {
+    /// Takes a boolean. Returns the default if the key is absent, or after
+    /// adding a fault if the value is invalid.
+    pub fn take_bool(&mut self, key: &str, default: bool) -> bool {
+        match self.take_value(key) {
             Some(Value::Boolean(b)) => b,
             Some(other) => {
-                self.fault(key, show(&other), "true or false");
+                self.add_fault(key, describe_value(&other), "true or false");
                 default
             }
             None => default,
         }
     }
 
-    /// Takes one of the listed texts, or the default where it is absent.
-    pub fn one_of(&mut self, key: &str, default: &str, allowed: &[&str]) -> String {
-        match self.take(key) {
+    /// Takes one of the allowed texts. Returns the default if the key is
+    /// absent, or after adding a fault if the value is invalid.
+    pub fn take_one_of(&mut self, key: &str, default: &str, allowed: &[&str]) -> String {
+        match self.take_value(key) {
             Some(Value::String(s)) if allowed.contains(&s.as_str()) => s,
             Some(other) => {
                 let list = allowed.join(", ");
-                self.fault(key, show(&other), format!("one of {list}"));
+                self.add_fault(key, describe_value(&other), format!("one of {list}"));
                 default.to_owned()
             }
             None => default.to_owned(),
         }
     }
 
-    /// Takes a list of texts, at least one.
-    pub fn names(&mut self, key: &str) -> Vec<String> {
+    /// Takes a non-empty list of texts. Adds a fault and returns an empty list
+    /// if there is none.
+    pub fn take_names(&mut self, key: &str) -> Vec<String> {
         const ALLOWED: &str = "a list of one or more names";
-        let Some(value) = self.take(key) else {
-            self.fault(key, "nothing", ALLOWED);
+        let Some(value) = self.take_value(key) else {
+            self.add_fault(key, "nothing", ALLOWED);
             return Vec::new();
         };
-        let names = as_names(&value).filter(|names| !names.is_empty());
+        let names = as_texts(&value).filter(|names| !names.is_empty());
         names.unwrap_or_else(|| {
-            self.fault(key, show(&value), ALLOWED);
+            self.add_fault(key, describe_value(&value), ALLOWED);
             Vec::new()
         })
     }
 
-    /// Takes a table of tables; an absent one is empty.
-    pub fn tables(&mut self, key: &str) -> Vec<(String, Table)> {
+    /// Takes a table of tables; empty if the key is absent. Adds a fault for
+    /// each value that isn't a table.
+    pub fn take_tables(&mut self, key: &str) -> Vec<(String, Table)> {
         const ALLOWED: &str = "a table of tables";
-        let inner = match self.take(key) {
+        let inner = match self.take_value(key) {
             None => return Vec::new(),
             Some(Value::Table(inner)) => inner,
             Some(other) => {
-                self.fault(key, show(&other), ALLOWED);
+                self.add_fault(key, describe_value(&other), ALLOWED);
                 return Vec::new();
             }
         };
@@ -151,28 +159,33 @@
         for (name, value) in inner {
             match value {
                 Value::Table(table) => tables.push((name, table)),
-                other => self.fault(&format!("{key}.{name}"), show(&other), ALLOWED),
+                other => self.add_fault(&format!("{key}.{name}"), describe_value(&other), ALLOWED),
             }
         }
         tables
     }
 
-    /// Notes each key that nobody took.
-    pub fn finish(mut self, known: &[&str]) {
-        let rest = std::mem::take(&mut self.table);
+    /// Adds a fault for each key that wasn't taken; `known` lists the allowed
+    /// keys for the message.
+    pub fn reject_unknown_keys(mut self, known: &[&str]) {
+        let unknown = std::mem::take(&mut self.table);
         let list = known.join(", ");
-        for (key, value) in rest {
-            self.fault(&key, show(&value), format!("one of the keys {list}"));
+        for (key, value) in unknown {
+            self.add_fault(
+                &key,
+                describe_value(&value),
+                format!("one of the keys {list}"),
+            );
         }
     }
 }
 
-fn as_names(value: &Value) -> Option<Vec<String>> {
+fn as_texts(value: &Value) -> Option<Vec<String>> {
     let list = value.as_array()?;
     list.iter().map(|v| v.as_str().map(str::to_owned)).collect()
 }
 
-/// Shows a value as an operator wrote it.
-pub(crate) fn show(value: &Value) -> String {
+/// Formats a value with its TOML type.
+pub(crate) fn describe_value(value: &Value) -> String {
     format!("{} {value}", value.type_str())
 }
--- a/crates/entry-config/src/document.rs
+++ b/crates/entry-config/src/document.rs
@@ -1,4 +1,4 @@
-//! A document of any kind, and how documents refer to each other.
+//! Documents of any kind, their keys, and the references between them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,19 +11,19 @@
 use crate::check::{Fault, Faults};
 use crate::{Account, Hall, Template};
 
-/// The kinds of documents.
+/// The kind of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DocumentKind {
-    /// A kind of job.
+    /// A [`Template`], which describes a kind of job.
     Template,
-    /// A client account.
+    /// A client [`Account`].
     Account,
-    /// A data hall.
+    /// A data [`Hall`].
     Hall,
 }
 
 impl DocumentKind {
-    /// Returns the word that stands in keys and paths.
+    /// Returns the name used in document keys and paths.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -37,13 +37,14 @@
 /// The key of a document: `template/x`, `account/x` or `hall/x`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DocumentKey {
-    /// The kind.
+    /// The part before the slash.
     pub kind: DocumentKind,
-    /// The name.
+    /// The part after the slash. Parsing accepts ASCII letters, digits, `-`
+    /// and `_`.
     pub name: Name,
 }
 
-/// Why a text is no document key.
+/// The error for a text that isn't a valid document key; holds that text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("a document is named template/NAME, account/NAME or hall/NAME, with letters, digits, `-` and `_` in NAME; got `{0}`")]
 pub struct DocumentKeyError(String);
@@ -77,27 +78,27 @@
     }
 }
 
-/// A checked document.
+/// A document that is valid by itself; its references may be unresolved.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Document {
-    /// A kind of job.
+    /// Describes a kind of job.
     Template(Template),
-    /// A client account.
+    /// Describes a client account.
     Account(Account),
-    /// A data hall.
+    /// Describes a data hall.
     Hall(Hall),
 }
 
 impl Document {
-    /// Reads a document and checks what can be seen from it alone.
+    /// Parses a document and validates it without regard to other documents.
     ///
     /// # Errors
     ///
-    /// Fails with all faults found, each with `file` before it.
+    /// Returns all faults found, each attributed to `file`.
     pub fn read(kind: DocumentKind, file: &str, text: &str) -> Result<Self, Faults> {
         let table: Table = match text.parse() {
             Ok(table) => table,
-            Err(error) => return Err(not_toml(file, &error)),
+            Err(error) => return Err(syntax_faults(file, &error)),
         };
         let mut faults = Vec::new();
         let document = match kind {
@@ -112,35 +113,36 @@
         }
     }
 
-    /// Checks what the document says of others.
+    /// Checks that the halls, templates and parameters to which the document
+    /// refers exist, and that its parameter values are allowed.
     ///
     /// # Errors
     ///
-    /// Fails with all faults found, each with `file` before it.
+    /// Returns all faults found, each attributed to `file`.
     pub fn check_references(
         &self,
         file: &str,
-        others: &BTreeMap<DocumentKey, Document>,
+        documents: &BTreeMap<DocumentKey, Document>,
     ) -> Result<(), Faults> {
         let Self::Account(account) = self else {
             return Ok(());
         };
         let mut faults = Vec::new();
         for hall in &account.halls {
-            if !others.contains_key(&DocumentKey {
+            if !documents.contains_key(&DocumentKey {
                 kind: DocumentKind::Hall,
                 name: hall.clone(),
             }) {
-                faults.push(fault(
+                faults.push(new_fault(
                     file,
                     "halls",
                     hall,
-                    names_of(others, DocumentKind::Hall),
+                    allowed_names(documents, DocumentKind::Hall),
                 ));
             }
         }
         for (name, values) in &account.templates {
-            check_template(file, name, values, others, &mut faults);
+            check_template_values(file, name, values, documents, &mut faults);
         }
         if faults.is_empty() {
             Ok(())
@@ -150,7 +152,7 @@
     }
 }
 
-fn not_toml(file: &str, error: &toml::de::Error) -> Faults {
+fn syntax_faults(file: &str, error: &toml::de::Error) -> Faults {
     Faults(vec![Fault {
         file: file.to_owned(),
         key: String::new(),
@@ -159,20 +161,21 @@
     }])
 }
 
-fn check_template(
+/// Checks an account's parameter values for the template `name`.
+fn check_template_values(
     file: &str,
     name: &str,
     values: &BTreeMap<String, gannetridge_entry_wire::submission::ParameterValue>,
-    others: &BTreeMap<DocumentKey, Document>,
+    documents: &BTreeMap<DocumentKey, Document>,
     faults: &mut Vec<Fault>,
 ) {
     let key = DocumentKey {
         kind: DocumentKind::Template,
         name: name.into(),
     };
-    let Some(Document::Template(template)) = others.get(&key) else {
-        let allowed = names_of(others, DocumentKind::Template);
-        faults.push(fault(file, &format!("templates.{name}"), name, allowed));
+    let Some(Document::Template(template)) = documents.get(&key) else {
+        let allowed = allowed_names(documents, DocumentKind::Template);
+        faults.push(new_fault(file, &format!("templates.{name}"), name, allowed));
         return;
     };
     for (key, value) in values {
@@ -181,10 +184,10 @@
             None => {
                 let known: Vec<&str> = template.parameters.keys().map(String::as_str).collect();
                 let allowed = format!("one of the keys {}", known.join(", "));
-                faults.push(fault(file, &path, key, allowed));
+                faults.push(new_fault(file, &path, key, allowed));
             }
             Some(rule) if !rule.admits(value) => {
-                faults.push(fault(
+                faults.push(new_fault(
                     file,
                     &path,
                     &format!("{value:?}"),
@@ -196,7 +199,7 @@
     }
 }
 
-fn fault(file: &str, key: &str, found: &str, allowed: String) -> Fault {
+fn new_fault(file: &str, key: &str, found: &str, allowed: String) -> Fault {
     Fault {
         file: file.to_owned(),
         key: key.to_owned(),
@@ -205,14 +208,14 @@
     }
 }
 
-fn names_of(others: &BTreeMap<DocumentKey, Document>, kind: DocumentKind) -> String {
-    let names: Vec<&str> = others
+fn allowed_names(documents: &BTreeMap<DocumentKey, Document>, kind: DocumentKind) -> String {
+    let names: Vec<&str> = documents
         .keys()
         .filter(|key| key.kind == kind)
         .map(|key| &*key.name)
         .collect();
     if names.is_empty() {
-        format!("a known {}, there is none yet", kind.as_str())
+        format!("a known {}; none exists yet", kind.as_str())
     } else {
         format!("one of {}", names.join(", "))
     }
--- a/crates/entry-config/src/hall.rs
+++ b/crates/entry-config/src/hall.rs
@@ -1,31 +1,31 @@
-//! Data halls.
+//! Data halls: machines that can be cut off together.
 
 use toml::Table;
 
-use crate::check::{Checker, Fault};
+use crate::check::{Fault, TableReader};
 
-/// Whether a hall's targets take new work.
+/// The operational state of a hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HallState {
-    /// Targets take work.
+    /// The hall's targets accept new work.
     Open,
-    /// The hall is being emptied: its targets get nothing new.
+    /// The hall is being drained: its targets get no new work.
     Draining,
 }
 
-/// A data hall.
+/// The configuration of a data hall.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hall {
-    /// Whether its targets take new work.
+    /// Open where the document names no state.
     pub state: HallState,
 }
 
 impl Hall {
-    /// Reads a hall and notes every fault.
+    /// Reads a hall from a table and adds its faults to `faults`.
     pub(crate) fn read(file: &str, table: Table, faults: &mut Vec<Fault>) -> Self {
-        let mut checker = Checker::new(file, "", table, faults);
-        let state = checker.one_of("state", "open", &["open", "draining"]);
-        checker.finish(&["state"]);
+        let mut reader = TableReader::new(file, "", table, faults);
+        let state = reader.take_one_of("state", "open", &["open", "draining"]);
+        reader.reject_unknown_keys(&["state"]);
         let state = if state == "draining" {
             HallState::Draining
         } else {
--- a/crates/entry-config/src/lib.rs
+++ b/crates/entry-config/src/lib.rs
@@ -1,7 +1,9 @@
-//! Documents that operators write: templates, accounts and halls.
+//! Configuration documents that operators write: templates, client accounts
+//! and data halls.
 //!
-//! Documents are TOML. A document is checked whole before it is accepted, and
-//! every fault in it is reported at once.
+//! Parses and validates TOML documents. Validation covers the whole document
+//! and reports all of its faults together. Storing documents and putting them
+//! into force is up to the caller.
 
 pub mod account;
 pub mod check;
--- a/crates/entry-config/src/template.rs
+++ b/crates/entry-config/src/template.rs
@@ -1,40 +1,40 @@
-//! Templates: kinds of jobs.
+//! Templates: kinds of jobs, with their limits and parameters.
 
 use std::collections::BTreeMap;
 
 use gannetridge_entry_wire::submission::{ParameterValue, MAX_TASKS};
 use toml::{Table, Value};
 
-use crate::check::{show, Checker, Fault};
+use crate::check::{describe_value, Fault, TableReader};
 
-/// What a parameter of a template may be.
+/// The type, default and allowed values of a template's parameter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ParameterRule {
-    /// A truth value.
+    /// A boolean.
     Bool {
-        /// The value where none is given.
+        /// Applies where neither account nor caller gives a value.
         default: bool,
     },
-    /// A whole number.
+    /// An integer.
     Int {
-        /// The value where none is given.
+        /// Applies where neither account nor caller gives a value.
         default: i64,
-        /// The least value.
+        /// The smallest allowed value.
         min: i64,
-        /// The greatest value.
+        /// The largest allowed value.
         max: i64,
     },
     /// A text.
     Text {
-        /// The value where none is given.
+        /// Applies where neither account nor caller gives a value.
         default: String,
-        /// The values allowed; any if empty.
+        /// The allowed values; if empty, any text is allowed.
         allowed: Vec<String>,
     },
 }
 
 impl ParameterRule {
-    /// Tells whether the value keeps to the rule.
+    /// Returns true if the value has the right type and is allowed.
     #[must_use]
     pub fn admits(&self, value: &ParameterValue) -> bool {
         match (self, value) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns the value where none is given.
+    /// Returns the value that applies where none is given.
     #[must_use]
     pub fn default_value(&self) -> ParameterValue {
         match self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Says what the rule allows.
+    /// Describes the allowed values, for error messages.
     #[must_use]
     pub fn allowed_description(&self) -> String {
         match self {
@@ -72,32 +72,31 @@
 /// A kind of job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Template {
-    /// How long a task usually runs, in milliseconds.
+    /// How long a task usually runs, in milliseconds; 1 to 60,000.
     pub expected_ms: u32,
-    /// Most tasks of one job.
+    /// The largest number of tasks in one job, at most [`MAX_TASKS`].
     pub max_tasks: usize,
     /// The parameters, by name.
     pub parameters: BTreeMap<String, ParameterRule>,
 }
 
 const KEYS: [&str; 3] = ["expected-ms", "max-tasks", "parameters"];
-/// The longest time that a document may expect of a task, in ms. Chosen, not measured.
-const LONGEST_TASK_MS: i64 = 60_000;
+const MAX_EXPECTED_MS: i64 = 60_000;
 
 impl Template {
-    /// Reads a template and notes every fault.
+    /// Reads a template from a table and adds its faults to `faults`.
     pub(crate) fn read(file: &str, table: Table, faults: &mut Vec<Fault>) -> Self {
-        let mut checker = Checker::new(file, "", table, faults);
-        let expected_ms = checker.int("expected-ms", None, 1, LONGEST_TASK_MS);
+        let mut reader = TableReader::new(file, "", table, faults);
+        let expected_ms = reader.take_int("expected-ms", None, 1, MAX_EXPECTED_MS);
         let limit = MAX_TASKS as i64;
-        let max_tasks = checker.int("max-tasks", Some(limit), 1, limit);
-        let tables = checker.tables("parameters");
-        checker.finish(&KEYS);
+        let max_tasks = reader.take_int("max-tasks", Some(limit), 1, limit);
+        let tables = reader.take_tables("parameters");
+        reader.reject_unknown_keys(&KEYS);
         let parameters = tables
             .into_iter()
             .map(|(name, table)| {
                 let prefix = format!("parameters.{name}.");
-                let rule = read_rule(Checker::new(file, &prefix, table, faults));
+                let rule = read_rule(TableReader::new(file, &prefix, table, faults));
                 (name, rule)
             })
             .collect();
@@ -109,48 +108,48 @@
     }
 }
 
-fn read_rule(mut checker: Checker<'_>) -> ParameterRule {
-    let kind = checker.one_of("type", "bool", &["bool", "int", "text"]);
+fn read_rule(mut reader: TableReader<'_>) -> ParameterRule {
+    let kind = reader.take_one_of("type", "bool", &["bool", "int", "text"]);
     match kind.as_str() {
         "int" => {
-            let min = checker.int("min", Some(i64::MIN), i64::MIN, i64::MAX);
-            let max = checker.int("max", Some(i64::MAX), min, i64::MAX);
-            let default = checker.int("default", None, min, max);
-            checker.finish(&["type", "default", "min", "max"]);
+            let min = reader.take_int("min", Some(i64::MIN), i64::MIN, i64::MAX);
+            let max = reader.take_int("max", Some(i64::MAX), min, i64::MAX);
+            let default = reader.take_int("default", None, min, max);
+            reader.reject_unknown_keys(&["type", "default", "min", "max"]);
             ParameterRule::Int { default, min, max }
         }
         "text" => {
-            let allowed = match checker.take("allowed") {
+            let allowed = match reader.take_value("allowed") {
                 None => Vec::new(),
-                Some(value) => text_list(&mut checker, value),
+                Some(value) => text_list(&mut reader, value),
             };
-            let default = match checker.take("default") {
+            let default = match reader.take_value("default") {
                 Some(Value::String(s)) if allowed.is_empty() || allowed.contains(&s) => s,
                 other => {
-                    let found = other.as_ref().map_or("nothing".to_owned(), show);
-                    checker.fault("default", found, "a text that the rule allows");
+                    let found = other.as_ref().map_or("nothing".to_owned(), describe_value);
+                    reader.add_fault("default", found, "a text that the rule allows");
                     String::new()
                 }
             };
-            checker.finish(&["type", "default", "allowed"]);
+            reader.reject_unknown_keys(&["type", "default", "allowed"]);
             ParameterRule::Text { default, allowed }
         }
         _ => {
-            let default = checker.bool("default", false);
-            checker.finish(&["type", "default"]);
+            let default = reader.take_bool("default", false);
+            reader.reject_unknown_keys(&["type", "default"]);
             ParameterRule::Bool { default }
         }
     }
 }
 
-fn text_list(checker: &mut Checker<'_>, value: Value) -> Vec<String> {
+fn text_list(reader: &mut TableReader<'_>, value: Value) -> Vec<String> {
     let list = value.as_array().map(Vec::as_slice).unwrap_or_default();
     let texts: Vec<String> = list
         .iter()
         .filter_map(|v| v.as_str().map(str::to_owned))
         .collect();
     if texts.is_empty() || texts.len() != list.len() {
-        checker.fault("allowed", show(&value), "a list of texts");
+        reader.add_fault("allowed", describe_value(&value), "a list of texts");
     }
     texts
 }
