--- a/crates/entry-wire/src/answer.rs
+++ b/crates/entry-wire/src/answer.rs
@@ -1,18 +1,18 @@
-//! What a caller gets back.
+//! Answers to callers.
 
 use serde::{Deserialize, Serialize};
 
 use gannetridge_wire::Name;
 
-/// What is known of whether any task of a failed job ran.
+/// What is known about the execution of a failed or refused job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunStatus {
-    /// No task was started and none will be.
+    /// No task was started, and none will be.
     NotRun,
     /// Some task may have run.
     Unknown,
-    /// At least one task did run.
+    /// At least one task ran.
     Ran,
 }
 
@@ -22,59 +22,62 @@
 pub enum FailureCause {
     /// A target reported that a task failed.
     TaskFailed,
-    /// A target was lost with a task whose outcome can't be learnt.
+    /// A target was lost, and the outcome of a task that it may have run can't
+    /// be determined.
     TargetLost,
     /// The deadline passed before the last task ended.
     DeadlinePassed,
-    /// An earlier owner of the shard may have started the job and is gone.
+    /// An owner of the shard was lost after it may have started the job.
     OwnerLost,
-    /// The id is older than the ledger's memory.
+    /// The ledger doesn't know the id, which is too old to be started safely.
     Expired,
 }
 
-/// Why a request was turned away without being run.
+/// Why a submission was refused without being run.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The tasks can't all be finished before the deadline.
+    /// The tasks can't all end before the deadline, or the queue is full.
     NoCapacity,
-    /// The account is over its quota and nothing is spare.
+    /// The account is over its quota, and too little other capacity is free.
     OverQuota,
-    /// No host holds the shard at the moment.
+    /// No host is known to own the shard, or its owner lost it before it
+    /// started the job.
     NoOwner,
     /// The host has no configuration yet.
     NotReady,
-    /// The host is stopping and could hand the shard to nobody.
+    /// The host is stopping and has no peer to hand the shard to.
     Stopping,
-    /// The deadline has passed already.
+    /// The deadline has already passed.
     TooLate,
-    /// A later sending of the same id was refused before.
+    /// This send of the id, or a later one, was refused before.
     Superseded,
 }
 
-/// Why a request can't be accepted as it stands, however often it is sent.
+/// Why a submission is invalid. Sending it again unchanged doesn't help.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rejection {
-    /// The id was used before with other contents.
+    /// The id was used before for different contents.
     ContentsDiffer,
-    /// The account isn't known.
+    /// No such account is configured.
     UnknownAccount(Name),
-    /// The template isn't known.
+    /// No such template is configured.
     UnknownTemplate(Name),
-    /// The account may not use the hall that the id names.
+    /// The account may not use the hall named in the id.
     HallNotAllowed(Name),
-    /// The account doesn't use the template.
+    /// The account may not use the template.
     TemplateNotAllowed(Name),
-    /// The job has no task, or more than allowed.
+    /// The job has this many tasks: none, or more than the template allows.
     TaskCount(u64),
     /// The id's creation time lies in the future.
     CreatedInFuture,
-    /// A parameter is unknown, of the wrong type or out of bounds.
+    /// A parameter is unknown, has the wrong type or a value that isn't
+    /// allowed.
     Parameter {
         /// The parameter's name.
         key: String,
-        /// What is allowed.
+        /// Describes the allowed values.
         allowed: String,
     },
 }
@@ -85,47 +88,47 @@
 pub struct TaskResult {
     /// The task's position in the submission.
     pub index: u32,
-    /// What the target answered.
+    /// The output as the target returned it.
     pub output: String,
 }
 
-/// The answer to one request.
+/// The answer to one submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Answer {
-    /// All tasks ended; `results` holds one entry for each, in order. Final.
+    /// All tasks have succeeded. Final.
     Complete {
-        /// The outputs in the order of the tasks.
+        /// One entry for each task, in the order of the submission.
         results: Vec<TaskResult>,
     },
-    /// The job has no results and never will. Final.
+    /// The job has no results and never will have. Final.
     Failed {
-        /// Why.
+        /// What ended the job.
         cause: FailureCause,
-        /// What is known of whether it ran.
+        /// Tells the caller whether a task may have run.
         ran: RunStatus,
     },
-    /// Nothing was run. The caller may come back with a new id.
+    /// No task was run. The caller may submit the job under a new id.
     Refused {
-        /// Why.
+        /// What prevented the job from running.
         reason: Refusal,
-        /// When to come back, in milliseconds from now.
+        /// How long to wait before submitting again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The outcome isn't known here yet. The same id may be sent again.
+    /// The outcome isn't known yet. The caller may send the same id again.
     Pending {
-        /// When to ask again, in milliseconds from now.
+        /// How long to wait before sending again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The request is wrong and was not run.
+    /// The submission is invalid and was not run.
     Rejected {
-        /// Why.
+        /// What is wrong with the submission.
         reason: Rejection,
     },
 }
 
 impl Answer {
-    /// Tells whether the answer is the job's last word.
+    /// Returns true if the answer is the job's final outcome.
     #[must_use]
     pub fn is_final(&self) -> bool {
         matches!(self, Self::Complete { .. } | Self::Failed { .. })
--- a/crates/entry-wire/src/hall.rs
+++ b/crates/entry-wire/src/hall.rs
@@ -1,4 +1,5 @@
-//! The table row that says who owns a hall's shards.
+//! The row of the platform's table that records a hall's hosts and the owners
+//! of its shards.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -7,7 +8,7 @@
 use crate::{Epoch, HostId, Time};
 use gannetridge_wire::Name;
 
-/// Prefix of the keys of hall rows.
+/// The prefix of the keys of hall rows.
 pub const HALL_PREFIX: &str = "hall/";
 
 /// Returns the key of a hall's row.
@@ -20,9 +21,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Member {
-    /// The host.
+    /// One incarnation of the host.
     pub id: HostId,
-    /// Where its peers reach it, `ip:port`.
+    /// The address for its peers, `ip:port`.
     pub address: Name,
     /// The row's generation at which the host joined.
     pub joined: u64,
@@ -32,17 +33,17 @@
     pub until: Time,
 }
 
-/// Who owns one shard.
+/// The ownership of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShardRow {
-    /// The owner, if there is one.
+    /// The owner, if the shard has one.
     pub holder: Option<HostId>,
     /// Grows with each change of the owner.
     pub epoch: Epoch,
     /// The lowest epoch that may still start tasks.
     pub fence: Epoch,
-    /// Ids created up to this time may have been started by an owner that is
-    /// gone.
+    /// Submissions whose ids were created up to this time may have been started
+    /// by a former owner that was lost.
     pub cutoff: Time,
 }
 
@@ -54,7 +55,7 @@
     pub generation: u64,
     /// The hosts of the hall.
     pub members: Vec<Member>,
-    /// The shards, by index.
+    /// The shards, by index; [`SHARDS_PER_HALL`] of them.
     pub shards: Vec<ShardRow>,
 }
 
@@ -69,13 +70,13 @@
         }
     }
 
-    /// Returns the member with the id, if the host has joined.
+    /// Returns the member with the given id, if it has joined.
     #[must_use]
     pub fn member(&self, id: &HostId) -> Option<&Member> {
         self.members.iter().find(|m| m.id == *id)
     }
 
-    /// Returns how many shards the host owns.
+    /// Returns the number of shards that the host owns.
     #[must_use]
     pub fn shard_count(&self, id: &HostId) -> usize {
         let owned = |s: &&ShardRow| s.holder.as_ref() == Some(id);
@@ -83,26 +84,26 @@
     }
 }
 
-/// Why a stored row is none.
+/// Why a stored row is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RowError {
     /// A shard names a holder that the row doesn't list.
     #[error("shard {shard} names holder {holder}, and the row lists {listed}")]
     Holder {
-        /// The shard.
+        /// The shard's index.
         shard: usize,
-        /// The holder's position.
+        /// The holder's position in the row's list of holders.
         holder: usize,
-        /// Holders that the row lists.
+        /// The number of holders in that list.
         listed: usize,
     },
-    /// The row hasn't as many shards as a hall has.
+    /// The row has this number of shards instead of [`SHARDS_PER_HALL`].
     #[error("the row has {0} shards, a hall has {SHARDS_PER_HALL}")]
     Shards(usize),
 }
 
-/// A row as the table keeps it: it is read and written every second or two by
-/// every host, so each holder's name stands in it once.
+/// The stored form of a [`HallRow`]. Every host reads and writes the row
+/// frequently, so each holder's name is stored only once.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct StoredRow {
@@ -112,8 +113,8 @@
     shards: Vec<StoredShard>,
 }
 
-/// The holder's position among the holders, the epoch, the fence and the
-/// cutoff.
+/// The holder's position in [`StoredRow::holders`], the epoch, the fence and
+/// the cutoff.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct StoredShard(Option<usize>, Epoch, Epoch, Time);
 
--- a/crates/entry-wire/src/ids.rs
+++ b/crates/entry-wire/src/ids.rs
@@ -10,20 +10,22 @@
 
 use crate::Time;
 
-/// Number of shards into which the submissions of one hall are divided.
+/// The number of shards into which the submissions of one hall are divided.
 ///
-/// 24 divides evenly among two, three, four, six and eight entry hosts.
+/// Divides evenly among two, three, four, six and eight entry hosts.
 pub const SHARDS_PER_HALL: u16 = 24;
 
-/// Longest accepted last part of a submission id, in bytes.
+/// The greatest length of the hall and of the key in a submission id, in
+/// bytes.
 pub const MAX_KEY_BYTES: usize = 96;
 
-/// One run of one entry host. A restarted host has a new incarnation.
+/// One incarnation of an entry host; each restart begins a new one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostId {
     /// The name from the host's settings.
     pub name: Name,
-    /// Grows with every start of the host: its start time in microseconds.
+    /// The host's start time in microseconds since the Unix epoch, so that it
+    /// grows with every start.
     pub incarnation: u64,
 }
 
@@ -33,52 +35,56 @@
     }
 }
 
-/// Counts the owners of a shard; it only grows.
+/// The epoch of a shard's ownership. It grows with each change of the owner
+/// and never falls.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Epoch(pub u64);
 
-/// A part of a hall's submissions that has one owner at a time.
+/// Identifies a shard: a part of a hall's submissions that has one owner at a
+/// time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId {
     /// The hall whose hosts may own the shard.
     pub hall: Name,
-    /// The shard's number within the hall, below [`SHARDS_PER_HALL`].
+    /// The shard's index within the hall, below [`SHARDS_PER_HALL`].
     pub index: u16,
 }
 
-/// The name that a caller gives to a submission: `hall.created-ms.key`.
+/// The id that a caller gives to a submission: `hall.created-ms.key`.
 ///
-/// The creation time lets a new owner of the shard tell submissions that its
-/// predecessor may have started from those that it can't have seen.
+/// By the creation time, a new owner of the shard distinguishes submissions
+/// that its predecessor may have started from those created later.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubmissionId {
-    /// The hall in which the submission is at home.
+    /// The hall whose hosts own the submission.
     pub hall: Name,
-    /// The caller's clock when it made the id, in milliseconds.
+    /// When the id was created, on the caller's clock, in milliseconds since the
+    /// Unix epoch.
     pub created_ms: u64,
-    /// The caller's own key: letters, digits, `-`, `_` and `:`.
+    /// The caller's own key: ASCII letters, digits, `-`, `_` and `:`.
     pub key: Name,
 }
 
-/// Why a text is no submission id.
+/// Why a text isn't a valid submission id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SubmissionIdError {
     /// The text doesn't have three parts.
     #[error("a submission id is `hall.created-ms.key`, got `{0}`")]
     Parts(String),
-    /// The second part is no number.
+    /// The second part isn't a number of milliseconds.
     #[error("the second part of a submission id is its creation time in ms, got `{0}`")]
     Created(String),
-    /// The hall or key is empty, too long, or has a character out of the set.
+    /// The hall or key is empty, longer than [`MAX_KEY_BYTES`] or has a
+    /// character that isn't allowed.
     #[error("the hall and key of a submission id hold 1 to 96 letters, digits, `-`, `_` or `:`, got `{0}`")]
     Key(String),
 }
 
 impl SubmissionId {
-    /// Returns when the caller made the id.
+    /// Returns when the id was created, on the caller's clock.
     #[must_use]
     pub fn created(&self) -> Time {
         Time::from_millis(self.created_ms)
@@ -102,7 +108,7 @@
     }
 }
 
-fn is_key(text: &str) -> bool {
+fn is_valid_part(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_:".contains(c);
     !text.is_empty() && text.len() <= MAX_KEY_BYTES && text.chars().all(allowed)
 }
@@ -120,7 +126,7 @@
             .parse()
             .map_err(|_| SubmissionIdError::Created(created.to_owned()))?;
         for part in [hall, key] {
-            if !is_key(part) {
+            if !is_valid_part(part) {
                 return Err(SubmissionIdError::Key(part.to_owned()));
             }
         }
@@ -145,16 +151,17 @@
     }
 }
 
-/// One task of one submission.
+/// Identifies one run of one task of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The account, since two accounts may choose the same submission id.
+    /// Part of the id since two accounts may choose the same submission id.
     pub account: Name,
-    /// The submission.
+    /// The id that the caller chose.
     pub submission: SubmissionId,
     /// The task's position in the submission.
     pub index: u32,
-    /// 0 for the first run; grows only when the earlier run is proved over.
+    /// 0 for the first run; grows only once the earlier run is known to have
+    /// ended.
     pub run: u32,
 }
 
--- a/crates/entry-wire/src/lib.rs
+++ b/crates/entry-wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Messages of the product's own interface: what callers, entry hosts, targets,
-//! the platform and operators send each other.
+//! Messages and stored rows of the entry host: what callers, entry hosts,
+//! targets, the platform and operators exchange.
 //!
-//! The crate holds data only. Decisions are made in `gannetridge-entry-core`,
-//! bytes are moved by `gannetridge-net`.
+//! The crate holds data types only. `gannetridge-entry-core` makes the
+//! decisions; `gannetridge-net` transports the bytes. Names of fields and
+//! variants are part of the wire format.
 
 pub mod answer;
 pub mod hall;
--- a/crates/entry-wire/src/peer.rs
+++ b/crates/entry-wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! What entry hosts say to each other.
+//! Messages between entry hosts.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,17 +6,18 @@
 use crate::{Answer, Epoch, HostId, Submission, SubmissionId, Time};
 use gannetridge_wire::Name;
 
-/// A config document as it stands in the platform's table.
+/// A configuration document as stored in the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ConfigDoc {
-    /// `template/x`, `account/x` or `hall/x`.
+    /// `template/NAME`, `account/NAME` or `hall/NAME`.
     pub key: Name,
-    /// The configuration's version with which the document came into force.
+    /// The version of the configuration at which this text came into force.
     pub version: u64,
-    /// The document, TOML.
+    /// The document's TOML text.
     pub text: Name,
-    /// The latest changes of the document, newest first.
+    /// The ids of the document's latest changes, newest first. They make a
+    /// repeated change recognisable.
     pub changes: Vec<Name>,
 }
 
@@ -24,15 +25,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ConfigSnapshot {
-    /// The version, which grows with each accepted change.
+    /// Grows with each accepted change.
     pub version: u64,
-    /// The documents, by key.
+    /// The documents, in the order of their keys.
     pub docs: Vec<ConfigDoc>,
 }
 
 impl ConfigSnapshot {
-    /// Returns the snapshot as it is once `doc`, new or changed, is part of
-    /// it. Its version is then the document's.
+    /// Returns a copy in which `doc` is added or replaces the document with its
+    /// key. The copy has the version of `doc`.
     #[must_use]
     pub fn with_doc(&self, doc: ConfigDoc) -> Self {
         let others = self.docs.iter().filter(|d| d.key != doc.key);
@@ -44,92 +45,95 @@
     }
 }
 
-/// What a host could lend, told with every reply that leaves it anyway.
+/// The free slots that a host can lend, sent along with other messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Spare {
-    /// Slots that the host could lend for tasks within their quotas.
+    /// Slots that it can lend for tasks within their accounts' quotas.
     pub free: u32,
-    /// Slots that it could lend for any task.
+    /// Slots that it can lend for tasks beyond their accounts' quotas.
     pub surplus: u32,
-    /// True while tasks of its own wait for slots.
+    /// True while the host needs slots itself.
     pub waits: bool,
 }
 
-/// What hosts tell each other once a heartbeat, in both directions.
+/// The status that hosts exchange with each heartbeat, in both directions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Status {
-    /// The sender.
+    /// The sending incarnation.
     pub host: HostId,
     /// The sender's hall.
     pub hall: Name,
-    /// Where the sender is reached.
+    /// The sender's address for peers.
     pub address: Name,
-    /// The configuration's version in force at the sender.
+    /// The version of the configuration in force at the sender.
     pub config_version: u64,
-    /// The shards of the sender's hall that it holds, with their epochs.
+    /// The shards of its hall that the sender holds, with their epochs.
     pub shards: Vec<(u16, Epoch)>,
-    /// What the sender could lend, and whether it needs slots itself.
+    /// The slots that the sender can lend or needs.
     pub spare: Spare,
-    /// The slots that each account uses: through the sender, if the receiver
-    /// is of its hall, or through all of the sender's hall.
+    /// The slots in use by each account: through the sender alone if the
+    /// receiver is in the same hall, else through the sender's whole hall.
     pub usage: Vec<(Name, u32)>,
-    /// Targets that the sender knows to be leaving.
+    /// The targets that the sender knows to be leaving.
     pub leaving: Vec<Name>,
-    /// True once the sender will never again take a shard over.
+    /// True once the sender will never take over a shard again.
     pub resigned: bool,
 }
 
-/// Asks a peer not to take over a holder's shards for a while.
+/// Asks a peer not to take over a holder's shards until a given time. As a
+/// reply, it confirms the promise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PromiseRequest {
-    /// The holder, as the hall's row names it.
+    /// The holder named in the hall's row.
     pub holder: HostId,
     /// The end of the promise, on the clock of the peer that gives it.
     pub until: Time,
 }
 
-/// Slots of one target that a peer may fill.
+/// Slots of one target that a borrower may use or gives back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Grant {
-    /// The target.
+    /// The target's name in the platform's list.
     pub target: Name,
     /// The number of slots.
     pub count: u32,
 }
 
-/// What an owner remembers of a submission.
+/// The ledger's entry of a submission, as sent to another host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LedgerRecord {
-    /// The account.
+    /// Part of the entry's key, since accounts may choose the same id.
     pub account: Name,
-    /// The submission.
+    /// The id that the caller chose.
     pub submission: SubmissionId,
-    /// The digest of its contents.
+    /// The digest of the contents, which detects a reuse of the id.
     pub digest: u128,
-    /// The answer, final or a refusal; none while the job runs at the sender.
+    /// The final answer or a refusal; none while the job runs at the sender or
+    /// at another host.
     pub answer: Option<Answer>,
-    /// The greatest count of sendings seen.
+    /// The greatest attempt number received.
     pub attempt: u32,
-    /// The job's deadline.
+    /// The time after which the caller has no use for an answer.
     pub deadline: Time,
 }
 
-/// A host that may take over from a holder.
+/// A host that may take over a holder's shards.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TakeoverCandidate {
-    /// The host.
+    /// One incarnation of the host.
     pub id: HostId,
-    /// Where it was reached. A later run there proves that this one ended.
+    /// Its last known address, or empty. A later incarnation at this address
+    /// proves that this one has ended.
     pub address: Name,
 }
 
-/// A host's promise not to take over before a time.
+/// A candidate's promise not to take over before a given time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CandidatePromise {
@@ -139,42 +143,44 @@
     pub until: Time,
 }
 
-/// The right to start a shard's submissions, on its way to another host.
+/// Transfers the right to start a shard's submissions to another host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Handover {
-    /// The host that may accept; another incarnation of it may not.
+    /// The only incarnation that may accept.
     pub to: HostId,
-    /// The sender.
+    /// The sending incarnation.
     pub from: HostId,
     /// Unique among the sender's handovers.
     pub serial: u64,
-    /// The shard's index in the sender's and receiver's hall.
+    /// The shard's index in the hall of both hosts.
     pub shard: u16,
-    /// The holder that the hall's row names.
+    /// The holder named in the hall's row.
     pub holder: HostId,
-    /// Where the holder was reached; empty if the sender doesn't know.
+    /// The holder's last known address, or empty.
     pub holder_address: Name,
-    /// The epoch in force.
+    /// The shard's current epoch.
     pub epoch: Epoch,
     /// The lowest epoch that may still start tasks.
     pub fence: Epoch,
-    /// Ids created up to this time may have been started by a lost owner.
+    /// Submissions whose ids were created up to this time may have been started
+    /// by a lost owner.
     pub cutoff: Time,
-    /// When the sender's right ends. A handover that comes later proves
-    /// nothing.
+    /// When the sender's right to start tasks ends; zero if it has lapsed. A
+    /// handover that arrives later doesn't transfer that right.
     pub valid_until: Time,
-    /// The end of the holder's lease in the table.
+    /// The end of the holder's lease in the platform's table.
     pub table_until: Time,
     /// The latest time to which promises may extend the lease.
     pub promise_limit: Time,
-    /// The hosts that may take over from the holder, less the sender.
+    /// The hosts that may take over from the holder, except the sender.
     pub takers: Vec<TakeoverCandidate>,
-    /// What those hosts have promised so far.
+    /// The promises received from those hosts so far.
     pub promises: Vec<CandidatePromise>,
-    /// No later run of the holder takes its shards over before this time.
+    /// No later incarnation of the holder takes over its shards before this
+    /// time.
     pub heir_until: Time,
-    /// What the sender remembers.
+    /// The sender's ledger entries for the shard.
     pub records: Vec<LedgerRecord>,
 }
 
@@ -182,60 +188,61 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerRequest {
-    /// Passes a submission to the holder of its shard.
+    /// Forwards a submission to the holder of its shard.
     Submit {
-        /// The sender.
+        /// The forwarding host.
         from: HostId,
-        /// Unique among the sender's requests. A copy that comes late must
-        /// not start what the first one didn't.
+        /// Unique among the sender's forwarded submissions. A delayed
+        /// duplicate of the message must not start the job.
         serial: u64,
-        /// True if the sender passed the submission to a holder before and
-        /// doesn't know what became of it.
+        /// True if the sender forwarded the submission before and doesn't know
+        /// the outcome.
         again: bool,
-        /// The submission.
+        /// The submission as the caller sent it.
         submission: Submission,
     },
-    /// Exchanges status, and asks for promises.
+    /// Exchanges statuses and asks for promises.
     Heartbeat {
-        /// The sender's status.
+        /// The sender's current status.
         status: Status,
-        /// The promises asked for.
+        /// The requested promises.
         promises: Vec<PromiseRequest>,
     },
-    /// Asks for free slots. The question waits at the receiver until there
-    /// are some to lend.
+    /// Asks for free slots. The request queues at the receiver until it can
+    /// lend some.
     Borrow {
-        /// Where the sender is reached.
+        /// The sender's address for peers.
         from: Name,
-        /// How many slots would be used.
+        /// The number of slots that the sender can use.
         count: u32,
-        /// True if the tasks are beyond their accounts' quotas.
+        /// True if the tasks exceed their accounts' quotas.
         over_quota: bool,
-        /// When the sender's first waiting job is due; of several questions
-        /// that wait, the one that is due first gets the next slots.
+        /// When the sender's first waiting job is due. Queued requests are
+        /// served in this order, those over quota last.
         due: Time,
-        /// How long the question may wait, in ms.
+        /// How long the request may queue, in ms.
         wait_ms: u64,
     },
-    /// Gives borrowed slots back.
+    /// Returns borrowed slots.
     Return {
-        /// The loan, as its lender numbered it.
+        /// The lender's number of the loan.
         loan: u64,
-        /// Slots of each target given back so far, in all.
+        /// The total slots of each target returned so far, so that a repeated
+        /// message counts once.
         returned: Vec<Grant>,
     },
-    /// Hands a shard over.
+    /// Hands over a shard.
     Handover(Box<Handover>),
-    /// Tells what became of submissions of a shard that was handed over.
+    /// Reports the outcomes of submissions of a shard that was handed over.
     Update {
-        /// What the sender remembers.
+        /// The sender's ledger entries.
         records: Vec<LedgerRecord>,
     },
-    /// Asks for a newer configuration.
+    /// Asks for a newer configuration, and for the list of targets if needed.
     ConfigPull {
         /// The version in force at the sender.
         have: u64,
-        /// True if the sender knows no targets yet.
+        /// True if the sender has no list of targets yet.
         want_list: bool,
     },
 }
@@ -244,50 +251,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerReply {
-    /// The answer to a submission.
+    /// Answers a forwarded submission.
     Answer {
-        /// The answer.
+        /// The answer for the caller.
         answer: Answer,
-        /// What the receiver could lend when it answered.
+        /// The slots that the replying host could lend at that time.
         spare: Spare,
     },
-    /// The receiver doesn't hold the shard; nothing was done.
+    /// The replying host did nothing: it doesn't hold the shard, or has received
+    /// the request before.
     NotHolder {
-        /// Where the shard went, if the receiver knows.
+        /// The address of another host that may hold the shard, if known.
         address: Option<Name>,
     },
-    /// The receiver's status, and the promises that it gives.
+    /// Answers a heartbeat.
     Heartbeat {
-        /// The receiver's status.
+        /// The status of the replying host.
         status: Status,
-        /// The promises given.
+        /// The promises that it gives.
         promised: Vec<PromiseRequest>,
     },
-    /// Slots lent, none if `grants` is empty.
+    /// Answers a request for slots.
     Lent {
         /// The lender's number of the loan.
         loan: u64,
-        /// The slots.
+        /// The lent slots; empty if there are none to lend.
         grants: Vec<Grant>,
         /// No task may be started on a lent slot after this time.
         until: Time,
-        /// What the sender could lend beyond these.
+        /// The slots that the lender can lend beyond these.
         spare: Spare,
     },
-    /// The request is done.
+    /// The request was carried out.
     Done,
-    /// The request is declined and nothing was done; a shard that was offered
-    /// stays with the sender.
+    /// The request was declined and nothing was done; an offered shard stays
+    /// with the sender.
     Declined,
-    /// What the sender asked for, as far as the receiver has it.
+    /// Answers a request for configuration.
     Config {
-        /// A newer configuration.
+        /// The configuration, if a newer one is in force.
         snapshot: Option<ConfigSnapshot>,
-        /// The platform's list as the receiver last read it.
+        /// The list of targets as last read from the platform, if requested and
+        /// known.
         list: Option<TargetList>,
     },
-    /// The handover was meant for an earlier incarnation of the receiver.
+    /// The handover is addressed to another incarnation of the host.
     NotAddressee,
-    /// The receiver doesn't speak the sender's protocol, or couldn't read it.
+    /// The request has an unsupported protocol version or couldn't be decoded.
     Unreadable,
 }
--- a/crates/entry-wire/src/platform.rs
+++ b/crates/entry-wire/src/platform.rs
@@ -1,38 +1,40 @@
-//! What an entry host and the platform say to each other.
+//! Messages between entry hosts and the platform: operations on its table and
+//! its list of targets.
 
 use serde::{Deserialize, Serialize};
 
 use gannetridge_wire::Name;
 
-/// A row of the platform's table.
+/// A row of the platform's table, as read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Row {
-    /// The row's key.
+    /// Unique in the table.
     pub key: Name,
-    /// Grows with each write of the row; 0 stands for an absent row.
+    /// Grows with each write of the row; never 0, which stands for an absent
+    /// row.
     pub version: u64,
-    /// The row's value.
+    /// A text whose format depends on the key.
     pub value: Name,
 }
 
-/// A version that a row must have for a commit to take place.
+/// A precondition of a commit: the version that a row must have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Check {
-    /// The row's key.
+    /// The key of the row to check.
     pub key: Name,
-    /// The version; 0 for a row that must be absent.
+    /// The required version; 0 for a row that must be absent.
     pub version: u64,
 }
 
-/// A row's new value.
+/// Creates or replaces a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Write {
-    /// The row's key.
+    /// The key of the row to write.
     pub key: Name,
-    /// The value.
+    /// The row's new value.
     pub value: Name,
 }
 
@@ -40,92 +42,94 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "kebab-case")]
 pub enum TableOp {
-    /// Reads one row.
+    /// Reads one row, if it exists.
     Get {
-        /// The row's key.
+        /// The key of the row.
         key: Name,
     },
     /// Reads all rows whose keys begin with the prefix.
     Scan {
-        /// The prefix.
+        /// The common start of the keys.
         prefix: Name,
     },
-    /// Writes all rows, or none if a check fails.
+    /// Writes all rows atomically, or none if a check fails.
     Commit {
-        /// What must hold.
+        /// The preconditions.
         checks: Vec<Check>,
-        /// What to write.
+        /// The rows to write.
         writes: Vec<Write>,
     },
 }
 
-/// The table's answer.
+/// The result of an operation on the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum TableResult {
-    /// The rows read.
+    /// Answers a read.
     Rows {
-        /// The rows, by key.
+        /// The rows found, in the order of their keys.
         rows: Vec<Row>,
     },
-    /// The commit took place.
+    /// All rows of the commit were written.
     Committed,
     /// A check failed; nothing was written.
     Conflict {
-        /// The checked rows as they are.
+        /// The current state of the checked rows that exist.
         rows: Vec<Row>,
     },
 }
 
-/// Why the table gave no answer.
+/// What is known about an operation without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TableFailure {
-    /// The operation didn't take place.
+    /// The operation wasn't carried out.
     NotDone,
-    /// The operation may have taken place.
+    /// The operation may have been carried out.
     Unclear,
 }
 
-/// What the platform's list says of a target.
+/// A target in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ListedTarget {
-    /// The target's name.
+    /// Unique among all targets.
     pub name: Name,
-    /// Its address, `ip:port`.
+    /// The address of its task interface, `ip:port`.
     pub address: Name,
-    /// Its hall.
+    /// The hall of the worker machine on which it runs.
     pub hall: Name,
-    /// How many tasks it runs at once.
+    /// The number of tasks that it can run at the same time.
     pub slots: u32,
-    /// How many it ran when the platform last looked.
+    /// The number of slots in use when the platform last checked.
     #[serde(default)]
     pub busy: u32,
-    /// True once the target is leaving.
+    /// True once the target is shutting down and accepts no new tasks.
     pub leaving: bool,
 }
 
-/// The platform's lagging list, or what has changed in it.
+/// The platform's list of targets, or the changes in it since a version. It
+/// lags behind the real state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TargetList {
     /// Grows with each change of the list; 0 for a list that was never read.
     #[serde(default)]
     pub version: u64,
-    /// True if the list is whole, false if it holds only what has changed
-    /// since the version that was asked for.
+    /// True for the complete list, false for the changes since the requested
+    /// version.
     #[serde(default)]
     pub whole: bool,
-    /// The targets that are live or leaving. Usage alone is no change.
+    /// All live or leaving targets, or those that have changed. A new value of
+    /// `busy` alone doesn't count as a change.
     pub targets: Vec<ListedTarget>,
-    /// The targets that are listed no more.
+    /// The targets removed since the requested version.
     #[serde(default)]
     pub gone: Vec<Name>,
 }
 
 impl TargetList {
-    /// Creates a whole list.
+    /// Creates a complete list.
     #[must_use]
     pub fn whole(version: u64, targets: Vec<ListedTarget>) -> Self {
         Self {
@@ -136,14 +140,15 @@
         }
     }
 
-    /// Tells whether nothing has changed since the version asked for.
+    /// Returns true if nothing has changed since the requested version.
     #[must_use]
     pub fn is_unchanged(&self) -> bool {
         !self.whole && self.targets.is_empty() && self.gone.is_empty()
     }
 
-    /// Brings a whole list up to date. Changes older than the list are left
-    /// aside; a whole list always counts, since the platform may begin anew.
+    /// Applies a newer reply to this complete list. Changes that aren't newer
+    /// than the list are ignored. A complete list always replaces this one,
+    /// since the version may fall when the platform restarts.
     pub fn merge(&mut self, newer: Self) {
         if newer.whole {
             *self = newer;
--- a/crates/entry-wire/src/submission.rs
+++ b/crates/entry-wire/src/submission.rs
@@ -1,4 +1,4 @@
-//! What a caller submits.
+//! Submissions: jobs as callers send them.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,18 @@
 use crate::{SubmissionId, Time};
 use gannetridge_wire::Name;
 
-/// Most tasks that one submission may hold.
+/// The largest number of tasks in one submission.
 pub const MAX_TASKS: usize = 1_600;
 
-/// The value of a parameter.
+/// The value of a template's parameter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum ParameterValue {
-    /// True or false.
+    /// A boolean.
     Bool(bool),
-    /// A whole number.
+    /// An integer.
     Int(i64),
-    /// A fraction.
+    /// A floating-point number.
     Float(f64),
     /// A text.
     Text(String),
@@ -29,33 +29,34 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct TaskSpec {
-    /// What the target gets, unread on the way.
+    /// The input for the target; entry hosts pass it on uninterpreted.
     pub input: String,
-    /// How long the caller expects the task to run, in milliseconds. The
-    /// template's figure holds where it is absent.
+    /// How long the caller expects the task to run, in milliseconds. If absent,
+    /// the template's value applies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected_ms: Option<u32>,
 }
 
-/// A job of parallel tasks, answered as a whole.
+/// A job of parallel tasks, which gets one answer for all of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Submission {
-    /// The submission's name; the same name is never started twice.
+    /// Chosen by the caller; a submission with the same id is never started
+    /// twice.
     pub id: SubmissionId,
     /// The client account on whose behalf the job runs.
     pub account: Name,
     /// The template that describes this kind of job.
     pub template: Name,
-    /// Values that go beside those of the account.
+    /// Parameter values; they take precedence over those of the account.
     #[serde(default)]
     pub parameters: BTreeMap<String, ParameterValue>,
     /// The tasks, 1 to [`MAX_TASKS`].
     pub tasks: Vec<TaskSpec>,
-    /// How long after the id's creation the answer is still wanted, in ms.
+    /// How long after the id's creation the answer is still useful, in ms.
     pub deadline_ms: u64,
-    /// Counts the caller's sendings of this id: 0 for the first, and greater
-    /// with each. A refusal holds for all sendings up to its own, also for
+    /// The number of this send of the id: 0 for the first, greater with each
+    /// further one. A refusal holds for all sends up to its own, including
     /// those that arrive later.
     #[serde(default)]
     pub attempt: u32,
@@ -68,11 +69,11 @@
         self.id.created().plus_millis(self.deadline_ms)
     }
 
-    /// Returns a digest of the contents, without the count of sendings.
+    /// Returns a digest of the contents, without `id` and `attempt`.
     ///
     /// # Panics
     ///
-    /// Never in practice: every field has a JSON form.
+    /// Never in practice, since every field can be encoded as JSON.
     #[must_use]
     pub fn digest(&self) -> u128 {
         let mut hasher = Xxh3::new();
@@ -83,7 +84,7 @@
             &self.tasks,
             self.deadline_ms,
         );
-        let text = serde_json::to_vec(&parts).expect("plain data has a JSON form");
+        let text = serde_json::to_vec(&parts).expect("plain data is always encodable");
         hasher.update(&text);
         hasher.digest128()
     }
--- a/crates/entry-wire/src/target.rs
+++ b/crates/entry-wire/src/target.rs
@@ -1,4 +1,4 @@
-//! What an entry host and a target say to each other.
+//! Messages between entry hosts and targets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,32 +9,32 @@
 use crate::{Epoch, ShardId, TaskId, Time};
 use gannetridge_wire::Name;
 
-/// Asks a target to run one task and answer when it has ended.
+/// Asks a target to run one task and to reply when it has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct StartTask {
-    /// The task; a target runs a task id once.
+    /// Identifies the task; a target starts each id at most once.
     pub task: TaskId,
-    /// The shard under whose ownership the task is started.
+    /// The shard to which the submission belongs.
     pub shard: ShardId,
-    /// The owner's epoch.
+    /// The shard's epoch under which the sender acts.
     pub epoch: Epoch,
     /// The lowest epoch of this shard that may still start tasks.
     pub fence: Epoch,
-    /// The latest time, on the target's clock, at which the task may begin.
+    /// The latest time, on the target's clock, at which the task may start.
     pub latest_begin: Time,
-    /// How long the task may run before the target ends it, in milliseconds.
+    /// How long the task may run before the target stops it, in milliseconds.
     pub lease_ms: u64,
-    /// The template, by which the runner knows what to do.
+    /// The template, from which the runner knows the kind of work.
     pub template: Name,
-    /// The template's parameters as the account and the caller set them.
+    /// The template's parameters, from the caller, the account or the defaults.
     pub parameters: Arc<BTreeMap<String, ParameterValue>>,
-    /// What to work on.
+    /// The task's input as the caller gave it.
     pub input: String,
 }
 
-/// Why a target didn't begin a task. Each is proof that it never will begin
-/// from that request.
+/// Why a target didn't start a task. After a refusal, that request can't start
+/// the task later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StartRefusal {
@@ -44,49 +44,51 @@
     Leaving,
     /// The epoch is below the shard's fence.
     StaleEpoch,
-    /// The latest time to begin has passed.
+    /// `latest_begin` has passed.
     TooLate,
 }
 
-/// What a target says of a task.
+/// The state of a task as its target reports it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "kebab-case")]
 pub enum TaskReport {
-    /// The task ended with an output.
+    /// The task has succeeded.
     Done {
-        /// The output.
+        /// Returned to the caller unchanged.
         output: String,
         /// How long the task ran, in milliseconds.
         ran_ms: u64,
     },
-    /// The task ran and failed, was stopped, or its lease lapsed. It is over.
+    /// The task ran and has ended without an output: it failed, was stopped, or
+    /// its lease expired.
     Failed {
         /// How long the task ran, in milliseconds.
         ran_ms: u64,
     },
-    /// The task wasn't begun.
+    /// The request didn't start the task.
     Refused {
-        /// Why.
+        /// What prevented the start.
         reason: StartRefusal,
     },
-    /// The task is running.
+    /// The task was started and hasn't ended.
     Running,
-    /// The target has never begun the task and never will.
+    /// The target never started the task and never will.
     NeverBegun,
-    /// The task isn't running and never will again, but may have run: the
-    /// target was started anew since.
+    /// The task isn't running and won't be started, but may have run before the
+    /// target restarted.
     Over,
 }
 
-/// Asks a target about a task.
+/// Asks a target for the state of a task. If the target doesn't know the task,
+/// it never starts it afterwards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct AskTask {
-    /// The task.
+    /// The run that the question is about.
     pub task: TaskId,
-    /// When its start was sent, on the sender's clock. A target that was
-    /// started later can't know whether the task was begun.
+    /// When [`StartTask`] was sent, on the sender's clock. A target that was
+    /// restarted later can't know whether the task was started.
     pub sent: Time,
-    /// Stops the task if it runs.
+    /// True if the target is to stop the task.
     pub stop: bool,
 }
--- a/crates/entry-wire/src/time.rs
+++ b/crates/entry-wire/src/time.rs
@@ -1,11 +1,11 @@
-//! Wall-clock time as every message carries it.
+//! Wall-clock time in messages.
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since the Unix epoch on the sender's clock.
+/// A wall-clock time in microseconds since the Unix epoch.
 ///
-/// Clocks of hosts, targets and the platform may differ by the skew bound that
-/// the settings name; nothing is assumed beyond that.
+/// The clocks of hosts, targets and the platform may differ by up to the skew
+/// bound in the settings.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -42,19 +42,21 @@
         Self(self.0.saturating_add(us))
     }
 
-    /// Returns the time `ms` milliseconds earlier, or the epoch.
+    /// Returns the time `ms` milliseconds earlier, at least the Unix epoch.
     #[must_use]
     pub const fn minus_millis(self, ms: u64) -> Self {
         Self(self.0.saturating_sub(ms.saturating_mul(1_000)))
     }
 
-    /// Returns the microseconds from `earlier` to `self`, 0 if it is later.
+    /// Returns the microseconds from `earlier` to `self`, or 0 if `earlier` is
+    /// later.
     #[must_use]
     pub const fn micros_since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Returns the milliseconds from `earlier` to `self`, 0 if it is later.
+    /// Returns the milliseconds from `earlier` to `self`, or 0 if `earlier` is
+    /// later.
     #[must_use]
     pub const fn millis_since(self, earlier: Self) -> u64 {
         self.micros_since(earlier) / 1_000
--- a/crates/entry-wire/tests/codec.rs
+++ b/crates/entry-wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts, and ids.
+//! Encoding of messages between hosts, and parsing of submission ids.
 
 use gannetridge_entry_wire::answer::{Refusal, TaskResult};
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest, Spare};
@@ -8,7 +8,7 @@
 use gannetridge_wire::codec::{decode, encode, CodecError};
 
 #[test]
-fn messages_come_back_as_they_were_sent() {
+fn a_request_survives_encoding_and_decoding() {
     let request = PeerRequest::Borrow {
         from: "10.0.0.1:7100".into(),
         count: 7,
@@ -17,25 +17,26 @@
         wait_ms: 200,
     };
     let bytes = encode(&request).expect("encodable");
-    let back: PeerRequest = decode(&bytes).expect("decodable");
-    assert_eq!(back, request);
+    let decoded: PeerRequest = decode(&bytes).expect("decodable");
+    assert_eq!(decoded, request);
 }
 
-/// Declares tests, each a name and an answer that has to come back the same.
-macro_rules! answers_come_back {
+/// Declares tests, each from a name and an answer that must decode to the same
+/// value.
+macro_rules! answers_round_trip {
     ($($name:ident: $answer:expr;)+) => {
         $(#[test]
         fn $name() {
             let spare = Spare { free: 3, surplus: 1, waits: true };
             let reply = PeerReply::Answer { answer: $answer, spare };
             let bytes = encode(&reply).expect("encodable");
-            let back: PeerReply = decode(&bytes).expect("decodable");
-            assert_eq!(back, reply);
+            let decoded: PeerReply = decode(&bytes).expect("decodable");
+            assert_eq!(decoded, reply);
         })+
     };
 }
 
-answers_come_back! {
+answers_round_trip! {
     complete: Answer::Complete {
         results: vec![TaskResult { index: 0, output: "ok".to_owned() }],
     };
@@ -45,11 +46,11 @@
     rejected: Answer::Rejected {
         reason: Rejection::Parameter { key: "depth".to_owned(), allowed: "1 to 4".to_owned() },
     };
-    rejected_without_more: Answer::Rejected { reason: Rejection::ContentsDiffer };
+    rejected_without_details: Answer::Rejected { reason: Rejection::ContentsDiffer };
 }
 
 #[test]
-fn a_submission_comes_back_with_and_without_what_is_optional() {
+fn a_submission_round_trips_with_and_without_optional_fields() {
     let text = r#"{"id":"a.5.k","account":"x","template":"t","parameters":{"n":3,"s":"y","b":true},
         "tasks":[{"input":"1"},{"input":"2","expected-ms":40}],"deadline-ms":900,"attempt":2}"#;
     let submission: Submission = serde_json::from_str(text).expect("a submission");
@@ -63,19 +64,19 @@
         submission,
     };
     let bytes = encode(&request).expect("encodable");
-    let back: PeerRequest = decode(&bytes).expect("decodable");
-    assert_eq!(back, request);
+    let decoded: PeerRequest = decode(&bytes).expect("decodable");
+    assert_eq!(decoded, request);
 }
 
 #[test]
-fn a_future_version_with_fields_by_position_is_refused_with_its_version() {
+fn another_protocol_with_fields_by_position_is_rejected_with_its_version() {
     let bytes = rmp_serde::to_vec(&(77_u16, "whatever")).expect("encodable");
     let error = decode::<PeerReply>(&bytes).expect_err("another protocol");
     assert!(matches!(error, CodecError::Protocol { got: 77 }));
 }
 
 #[test]
-fn another_protocol_is_refused_with_its_version() {
+fn another_protocol_with_named_fields_is_rejected_with_its_version() {
     #[derive(serde::Serialize)]
     struct Foreign {
         protocol: u16,
@@ -94,27 +95,27 @@
     ));
 }
 
-/// Declares tests, each a name, a text and the error that it leads to.
-macro_rules! bad_ids {
+/// Declares tests, each from a name, an invalid id and the expected error.
+macro_rules! invalid_ids {
     ($($name:ident: $text:expr => $error:pat,)+) => {
         $(#[test]
         fn $name() {
-            let error = $text.parse::<SubmissionId>().expect_err("no id");
+            let error = $text.parse::<SubmissionId>().expect_err("an invalid id");
             assert!(matches!(error, $error), "{error:?}");
         })+
     };
 }
 
-bad_ids! {
+invalid_ids! {
     too_few_parts: "hall.5" => SubmissionIdError::Parts(_),
-    no_number: "hall.now.x" => SubmissionIdError::Created(_),
+    creation_time_is_no_number: "hall.now.x" => SubmissionIdError::Created(_),
     empty_hall: ".5.x" => SubmissionIdError::Key(_),
-    bad_character: "hall.5.a/b" => SubmissionIdError::Key(_),
-    too_long: format!("hall.5.{}", "x".repeat(97)) => SubmissionIdError::Key(_),
+    disallowed_character: "hall.5.a/b" => SubmissionIdError::Key(_),
+    too_long_key: format!("hall.5.{}", "x".repeat(97)) => SubmissionIdError::Key(_),
 }
 
 #[test]
-fn an_id_keeps_its_shard() {
+fn the_shard_of_an_id_is_stable_and_in_range() {
     let id: SubmissionId = "hall.1700000000000.move-17".parse().expect("an id");
     let shard = id.shard("kaiguvalgus");
     assert_eq!(
--- a/crates/entry-wire/tests/hall_row.rs
+++ b/crates/entry-wire/tests/hall_row.rs
@@ -1,4 +1,4 @@
-//! The hall's row as the table keeps it.
+//! The stored form of a hall's row.
 
 use gannetridge_entry_wire::hall::{HallRow, Member};
 use gannetridge_entry_wire::{Epoch, HostId, Time};
@@ -30,29 +30,33 @@
 }
 
 #[test]
-fn a_row_comes_back_as_it_was_stored() {
-    let text = serde_json::to_string(&row()).expect("plain data");
-    let back: HallRow = serde_json::from_str(&text).expect("what was stored");
-    assert_eq!(back, row());
-    assert_eq!(text.matches("gone").count(), 1, "names stand once: {text}");
+fn a_row_survives_storing_and_loading() {
+    let text = serde_json::to_string(&row()).expect("an encodable row");
+    let loaded: HallRow = serde_json::from_str(&text).expect("a valid row");
+    assert_eq!(loaded, row());
+    assert_eq!(
+        text.matches("gone").count(),
+        1,
+        "each holder is stored once: {text}"
+    );
 }
 
-/// Declares tests, each a name, what is replaced in a stored row and by what,
-/// and a part of the error.
-macro_rules! bad_rows {
+/// Declares tests, each from a name, a part of a stored row with its replacement,
+/// and the expected part of the error.
+macro_rules! invalid_rows {
     ($($name:ident: $from:expr, $to:expr => $error:expr;)+) => {
         $(#[test]
         fn $name() {
-            let text = serde_json::to_string(&row()).expect("plain data");
-            let bad = text.replacen($from, $to, 1);
-            assert_ne!(bad, text, "something was replaced");
-            let error = serde_json::from_str::<HallRow>(&bad).expect_err("a bad row");
+            let text = serde_json::to_string(&row()).expect("an encodable row");
+            let invalid = text.replacen($from, $to, 1);
+            assert_ne!(invalid, text, "nothing was replaced");
+            let error = serde_json::from_str::<HallRow>(&invalid).expect_err("an invalid row");
             assert!(error.to_string().contains($error), "{error}");
         })+
     };
 }
 
-bad_rows! {
+invalid_rows! {
     an_unknown_holder: "[0,1,2", "[9,1,2" => "shard 1 names holder 9, and the row lists 2";
     a_missing_shard: "[null,0,0,0],", "" => "the row has 23 shards, a hall has 24";
     no_holders: "\"holders\"", "\"owners\"" => "holders";
