--- a/crates/entry-call/src/job.rs
+++ b/crates/entry-call/src/job.rs
@@ -1,4 +1,4 @@
-//! A job as a caller writes it down, before it has an id.
+//! Job files: jobs as callers write them, without an id.
 
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -9,60 +9,61 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A job, JSON.
+/// A job in JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct JobFile {
-    /// The client account.
+    /// The client account on whose behalf the job runs.
     pub account: Name,
-    /// The template.
+    /// The name of the template for this kind of job.
     pub template: Name,
-    /// The hall in which the submission is to be at home.
+    /// The hall whose hosts are to own the submission.
     pub hall: Name,
-    /// Parameters beside those of the account.
+    /// Parameter values; they take precedence over those of the account.
     #[serde(default)]
     pub parameters: BTreeMap<String, ParameterValue>,
-    /// The tasks.
+    /// The tasks, which run in parallel.
     pub tasks: Vec<TaskSpec>,
-    /// How long the answer is wanted, in ms.
+    /// How long after its submission the job's answer is useful, in ms.
     pub deadline_ms: u64,
 }
 
-/// Why a job can't be made into a submission.
+/// Why a job file can't be turned into a submission.
 #[derive(Debug, Error)]
 pub enum JobFileError {
-    /// The text is no job.
-    #[error("the text is no job")]
+    /// The text isn't JSON, or not a job.
+    #[error("invalid job file")]
     Parse(#[from] serde_json::Error),
-    /// The hall or key don't make an id.
-    #[error("the hall or key don't make an id")]
+    /// The hall or key can't be part of an id.
+    #[error("invalid hall or key for a submission id")]
     Id(#[from] SubmissionIdError),
 }
 
 impl JobFile {
-    /// Reads a job.
+    /// Parses a job file.
     ///
     /// # Errors
     ///
-    /// Fails if the text is no job.
+    /// Fails if the text isn't a job in JSON.
     pub fn read(text: &str) -> Result<Self, JobFileError> {
         Ok(serde_json::from_str(text)?)
     }
 
-    /// Makes a submission with a new id.
+    /// Creates a submission with a new id from the hall, the current time and
+    /// `key`.
     ///
     /// # Errors
     ///
-    /// Fails if the hall or `key` have characters that ids don't allow.
-    pub fn submission(self, key: &str) -> Result<Submission, JobFileError> {
+    /// Fails if the hall or `key` can't be part of an id.
+    pub fn into_submission(self, key: &str) -> Result<Submission, JobFileError> {
         let created_ms = now_ms();
         let id: SubmissionId = format!("{}.{created_ms}.{key}", self.hall).parse()?;
-        Ok(self.with_id(id))
+        Ok(self.into_submission_with_id(id))
     }
 
-    /// Makes a submission with an id used before.
+    /// Creates a submission with an existing id.
     #[must_use]
-    pub fn with_id(self, id: SubmissionId) -> Submission {
+    pub fn into_submission_with_id(self, id: SubmissionId) -> Submission {
         Submission {
             id,
             account: self.account,
@@ -75,16 +76,17 @@
     }
 }
 
-/// Returns the count for a sending that is made now. It grows with time, so
-/// that one who sends an id again need not know how often it was sent before.
+/// Returns the attempt number for sending an id now. Since it grows with time,
+/// a caller that resends an id after a restart needs no count of earlier sends.
 #[must_use]
-pub fn attempt_now(id: &SubmissionId) -> u32 {
-    const STEP_MS: u64 = 500;
-    let steps = now_ms().saturating_sub(id.created_ms) / STEP_MS;
-    u32::try_from(steps).unwrap_or(u32::MAX).max(1)
+pub fn current_attempt(id: &SubmissionId) -> u32 {
+    const MS_PER_ATTEMPT: u64 = 500;
+    let attempt = now_ms().saturating_sub(id.created_ms) / MS_PER_ATTEMPT;
+    u32::try_from(attempt).unwrap_or(u32::MAX).max(1)
 }
 
-/// Returns this machine's time in milliseconds since the Unix epoch.
+/// Returns the system time in milliseconds since the Unix epoch, or 0 before
+/// it.
 #[must_use]
 pub fn now_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/entry-call/src/lib.rs
+++ b/crates/entry-call/src/lib.rs
@@ -1,5 +1,6 @@
-//! The callers' side: makes ids, sends submissions, and sends them again under
-//! the same id until there is a final answer or no time is left.
+//! Client of the entry hosts for callers: creates submission ids, and sends a
+//! submission repeatedly under the same id until there is a final answer or the
+//! time is up.
 
 pub mod job;
 mod send;
--- a/crates/entry-call/src/main.rs
+++ b/crates/entry-call/src/main.rs
@@ -1,11 +1,11 @@
-//! Submits a job and prints its answer.
+//! Command-line program that submits a job and prints the answer.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use anyhow::Context;
-use gannetridge_entry_call::job::attempt_now;
+use gannetridge_entry_call::job::current_attempt;
 use gannetridge_entry_call::{CallerSettings, JobFile, Reply, Sender};
 use gannetridge_entry_wire::{Submission, SubmissionId};
 use gannetridge_net::runtime;
@@ -30,16 +30,17 @@
     print_settings: bool,
 }
 
-/// The exit code where the answer isn't the job's results.
-const NO_RESULTS: u8 = 2;
+/// The exit code for an answer without results.
+const EXIT_NO_RESULTS: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse_args_default_or_exit();
-    exit_code("gannetridge-call", start(&arguments))
+    exit_code("gannetridge-call", run(&arguments))
 }
 
-/// Exits with 2 if there is an answer and it isn't the job's results.
-fn start(arguments: &Arguments) -> anyhow::Result<ExitCode> {
+/// Runs the program. Returns [`EXIT_NO_RESULTS`] for an answer without results,
+/// and an error if there is no answer.
+fn run(arguments: &Arguments) -> anyhow::Result<ExitCode> {
     let path = arguments
         .settings
         .as_ref()
@@ -53,17 +54,18 @@
         .job
         .as_ref()
         .context("a job file, or `-`, is needed")?;
-    let submission = submission(JobFile::read(&read_text(path)?)?, arguments)?;
+    let submission = build_submission(JobFile::read(&read_text(path)?)?, arguments)?;
     let sender = Sender::new(settings)?;
     eprintln!("id: {}", submission.id);
     let reply = runtime::run(async move { sender.send(submission).await })??;
-    print(&reply);
+    print_reply(&reply);
     if reply.status.is_success() {
         return Ok(ExitCode::SUCCESS);
     }
-    Ok(ExitCode::from(NO_RESULTS))
+    Ok(ExitCode::from(EXIT_NO_RESULTS))
 }
 
+/// Reads a file, or the standard input for `-`.
 fn read_text(path: &Path) -> anyhow::Result<String> {
     if path != Path::new("-") {
         return std::fs::read_to_string(path)
@@ -74,19 +76,19 @@
     Ok(text)
 }
 
-fn submission(job: JobFile, arguments: &Arguments) -> anyhow::Result<Submission> {
+fn build_submission(job: JobFile, arguments: &Arguments) -> anyhow::Result<Submission> {
     if let Some(id) = &arguments.id {
         let id: SubmissionId = id.parse()?;
-        let mut submission = job.with_id(id);
-        submission.attempt = attempt_now(&submission.id);
+        let mut submission = job.into_submission_with_id(id);
+        submission.attempt = current_attempt(&submission.id);
         return Ok(submission);
     }
     let random = || format!("{:016x}", rand::rng().random::<u64>());
     let key = arguments.key.clone().unwrap_or_else(random);
-    Ok(job.submission(&key)?)
+    Ok(job.into_submission(&key)?)
 }
 
-fn print(reply: &Reply) {
+fn print_reply(reply: &Reply) {
     eprintln!(
         "status: {}, sent {} times",
         reply.status.as_u16(),
--- a/crates/entry-call/src/send.rs
+++ b/crates/entry-call/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends a submission until there is a final answer.
+//! Sends a submission to entry hosts until there is a final answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,51 +10,53 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::job::{attempt_now, now_ms};
+use crate::job::{current_attempt, now_ms};
 
-/// Shortest pause between two sendings. Hosts rely on it: see the tuning's
-/// `min-resend-ms`.
-const LEAST_PAUSE_MS: u64 = 1_000;
-/// How long after the deadline an answer is still awaited, in ms. Chosen, not
-/// measured.
-const GRACE_MS: u64 = 3_000;
+/// The shortest pause between two sends of an id. Must not be below the hosts'
+/// `min-resend-ms`: within that time they assume that a first send is the only
+/// one.
+const MIN_RESEND_PAUSE_MS: u64 = 1_000;
+/// How long after the job's deadline an answer is still awaited.
+const ANSWER_GRACE_MS: u64 = 3_000;
 
-/// Settings of a caller.
+/// The caller's settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CallerSettings {
-    /// The entry hosts, or the balancer before them.
+    /// The addresses of the entry hosts, or of a load balancer before them.
     pub hosts: Vec<SocketAddr>,
 }
 
-/// What an entry host answered.
+/// The final reply of an entry host.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The HTTP status.
+    /// Success only for a complete job.
     pub status: StatusCode,
-    /// The body, JSON.
+    /// The JSON body.
     pub body: String,
-    /// How often the submission was sent.
+    /// The number of attempts to send the submission, including failed ones.
     pub sent: u32,
 }
 
-/// Why there is no answer.
+/// Why there is no final reply.
 #[derive(Debug, Error)]
 pub enum SendError {
     /// The settings name no host.
     #[error("the settings name no entry host")]
     NoHost,
-    /// No host answered in time; the job may run or have run.
-    #[error("no answer in time after {sent} sendings; the outcome is unknown")]
+    /// No host gave a final answer in time. The job may be running or have run.
+    #[error("no answer in time after {sent} attempts; the outcome is unknown")]
     NoAnswer {
-        /// How often the submission was sent.
+        /// The number of attempts to send the submission, including failed
+        /// ones.
         sent: u32,
     },
-    /// The submission has no JSON form.
-    #[error("the submission has no JSON form")]
+    /// The submission can't be encoded as JSON.
+    #[error("can't encode the submission as JSON")]
     Encode(#[from] serde_json::Error),
 }
 
+/// The fields of an HTTP problem that decide about a further send.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct ProblemView {
@@ -86,40 +88,44 @@
         })
     }
 
-    /// Sends a submission, and again under the same id while its outcome is
+    /// Sends a submission, and resends it under the same id while its outcome is
     /// unknown, to one host after the other.
     ///
     /// # Errors
     ///
-    /// Fails if there is no answer some time after the deadline.
+    /// Fails if there is no final answer within a few seconds after the
+    /// deadline, or if the submission can't be encoded.
     pub async fn send(&self, mut submission: Submission) -> Result<Reply, SendError> {
-        let until_ms = submission.deadline().as_millis() + GRACE_MS;
-        let mut turn = rand::rng().random_range(0..self.hosts.len());
+        let give_up_at_ms = submission.deadline().as_millis() + ANSWER_GRACE_MS;
+        let mut host_index = rand::rng().random_range(0..self.hosts.len());
         let mut sent = 0;
         loop {
             sent += 1;
-            let left_ms = until_ms.saturating_sub(now_ms()).max(LEAST_PAUSE_MS);
-            let host = self.hosts[turn % self.hosts.len()];
-            let pause_ms = match self.send_once(host, &submission, left_ms).await? {
+            let remaining_ms = give_up_at_ms
+                .saturating_sub(now_ms())
+                .max(MIN_RESEND_PAUSE_MS);
+            let host = self.hosts[host_index % self.hosts.len()];
+            let pause_ms = match self.send_once(host, &submission, remaining_ms).await? {
                 Outcome::Final(status, body) => return Ok(Reply { status, body, sent }),
-                Outcome::AskAgain(wait_ms) => wait_ms,
+                Outcome::Resend(wait_ms) => wait_ms,
                 Outcome::NotSent => {
-                    // Nothing left this machine: the next host is asked at once.
-                    turn += 1;
-                    if now_ms() > until_ms {
+                    // The request didn't leave this machine, so that the minimum
+                    // pause doesn't apply.
+                    host_index += 1;
+                    if now_ms() > give_up_at_ms {
                         return Err(SendError::NoAnswer { sent });
                     }
                     monoio::time::sleep(Duration::from_millis(20)).await;
                     continue;
                 }
             };
-            turn += 1;
-            let pause_ms = pause_ms.max(LEAST_PAUSE_MS);
-            if now_ms() + pause_ms > until_ms {
+            host_index += 1;
+            let pause_ms = pause_ms.max(MIN_RESEND_PAUSE_MS);
+            if now_ms() + pause_ms > give_up_at_ms {
                 return Err(SendError::NoAnswer { sent });
             }
             monoio::time::sleep(Duration::from_millis(pause_ms)).await;
-            submission.attempt = attempt_now(&submission.id);
+            submission.attempt = current_attempt(&submission.id);
         }
     }
 
@@ -143,25 +149,26 @@
         let reply = match call.await {
             Ok(reply) => reply,
             Err(CallError::NotSent(_)) => return Ok(Outcome::NotSent),
-            Err(CallError::Unknown(_)) => return Ok(Outcome::AskAgain(0)),
+            Err(CallError::Unknown(_)) => return Ok(Outcome::Resend(0)),
         };
         let body = String::from_utf8_lossy(&reply.body).into_owned();
         let problem: Option<ProblemView> = serde_json::from_str(&body).ok();
         match problem {
             Some(p) if p.kind.ends_with(":outcome-pending") || p.kind.ends_with(":stopping") => {
-                Ok(Outcome::AskAgain(p.retry_after_ms.unwrap_or(0)))
+                Ok(Outcome::Resend(p.retry_after_ms.unwrap_or(0)))
             }
             _ => Ok(Outcome::Final(reply.status, body)),
         }
     }
 }
 
-/// What one sending led to.
+/// The outcome of one send.
 enum Outcome {
-    /// An answer that sending again won't change, or a refusal.
+    /// A reply after which the submission isn't sent again.
     Final(StatusCode, String),
-    /// The outcome is unknown; to be asked again after this many ms.
-    AskAgain(u64),
-    /// Nothing was sent.
+    /// The job's outcome is unknown; the submission is resent after at least
+    /// this many ms.
+    Resend(u64),
+    /// The request wasn't sent.
     NotSent,
 }
