--- a/crates/entry-standins/src/bin/standin-platform.rs
+++ b/crates/entry-standins/src/bin/standin-platform.rs
@@ -1,11 +1,11 @@
-//! Runs the stand-in for the platform.
+//! Serves the platform's stand-in over HTTP.
 
 use gannetridge_entry_standins::cli;
 use gannetridge_entry_standins::platform::{Platform, PlatformSettings};
 use gannetridge_net::{bind, runtime, serve, ServerLimits};
 
 fn main() -> anyhow::Result<()> {
-    let Some(settings) = cli::settings::<PlatformSettings>()? else {
+    let Some(settings) = cli::read_settings::<PlatformSettings>()? else {
         return Ok(());
     };
     runtime::run(run(settings))?
--- a/crates/entry-standins/src/bin/standin-workers.rs
+++ b/crates/entry-standins/src/bin/standin-workers.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in for the workers.
+//! Serves the runners' stand-ins over HTTP, each at its own address.
 
 use anyhow::Context;
 use gannetridge_entry_standins::cli;
@@ -6,7 +6,7 @@
 use gannetridge_net::{bind, runtime, serve, ServerLimits};
 
 fn main() -> anyhow::Result<()> {
-    let Some(settings) = cli::settings::<WorkersSettings>()? else {
+    let Some(settings) = cli::read_settings::<WorkersSettings>()? else {
         return Ok(());
     };
     runtime::run(run(settings))?
@@ -16,9 +16,11 @@
     let mut servers = Vec::new();
     for runner in settings.runners {
         let listener = bind(runner.listen).with_context(|| runner.name.to_string())?;
-        let stand_in = RunnerServer::new(runner.slots);
+        let runner_server = RunnerServer::new(runner.slots);
         let limits = ServerLimits::default();
-        let server = serve(listener, limits, move |req| stand_in.clone().handle(req));
+        let server = serve(listener, limits, move |req| {
+            runner_server.clone().handle(req)
+        });
         servers.push(monoio::spawn(server));
     }
     for server in servers {
--- a/crates/entry-standins/src/cli.rs
+++ b/crates/entry-standins/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line that the stand-ins have in common.
+//! The common command line of the stand-ins.
 
 use std::path::PathBuf;
 
@@ -18,13 +18,13 @@
     print_settings: bool,
 }
 
-/// Reads the settings file that the command line names. Returns `None` if the
-/// settings were only to be printed.
+/// Parses the command line and reads the settings file. Returns `None` after
+/// printing the settings if `--print-settings` is given.
 ///
 /// # Errors
 ///
-/// Fails if no file is named, or the file doesn't fit the type.
-pub fn settings<T: DeserializeOwned + Serialize>() -> anyhow::Result<Option<T>> {
+/// Fails if no file is given, or if it can't be read or parsed as `T`.
+pub fn read_settings<T: DeserializeOwned + Serialize>() -> anyhow::Result<Option<T>> {
     let arguments = Arguments::parse_args_default_or_exit();
     let path = arguments.settings.context("--settings FILE is needed")?;
     let settings: T = gannetridge_process::settings::read(&path)?;
--- a/crates/entry-standins/src/lib.rs
+++ b/crates/entry-standins/src/lib.rs
@@ -1,5 +1,6 @@
-//! Small stand-ins for what gannetridge talks to: the platform's table, store
-//! and list, and the workers. For tests and trials only.
+//! Stand-ins for the systems that entry hosts use: the platform's table, object
+//! store and list of targets, and the runners on workers. For tests and demos
+//! only; all state is kept in memory.
 
 pub mod cli;
 pub mod list;
--- a/crates/entry-standins/src/list.rs
+++ b/crates/entry-standins/src/list.rs
@@ -1,48 +1,54 @@
-//! The platform's list of targets, with a memory of what changed when.
+//! The platform's list of targets, which can be read as changes since a
+//! version.
 
 use std::collections::BTreeMap;
 
 use gannetridge_entry_wire::platform::{ListedTarget, TargetList};
 use gannetridge_wire::Name;
 
-/// Targets that are gone and still told of; older ones make a reader get the
-/// whole list.
-const MOST_GONE: usize = 4_096;
+/// The number of removed targets to remember. A reader at a version before these
+/// removals gets the complete list.
+const MAX_REMOVED: usize = 4_096;
 
-/// A list that can tell what changed since a version.
+/// A list of targets that records the version of each change.
 #[derive(Clone, Debug, Default)]
 pub struct VersionedTargetList {
     version: u64,
+    /// Listed targets, with the version of their last change.
     targets: BTreeMap<Name, (u64, ListedTarget)>,
-    gone: BTreeMap<u64, Name>,
-    /// Changes up to this version are not told one by one any more.
-    forgotten: u64,
+    /// Removed targets, by the version of their removal.
+    removed: BTreeMap<u64, Name>,
+    /// Removals up to this version are no longer in `removed`.
+    discarded_up_to: u64,
 }
 
 impl VersionedTargetList {
-    /// Takes over what the targets are now.
+    /// Replaces the listed targets and records what has changed.
     pub fn refresh(&mut self, targets: Vec<ListedTarget>) {
-        let names: BTreeMap<&Name, ()> = targets.iter().map(|t| (&t.name, ())).collect();
-        let gone: Vec<Name> = self.targets.keys().cloned().collect();
-        for name in gone.into_iter().filter(|name| !names.contains_key(name)) {
+        let current: BTreeMap<&Name, ()> = targets.iter().map(|t| (&t.name, ())).collect();
+        let listed: Vec<Name> = self.targets.keys().cloned().collect();
+        for name in listed
+            .into_iter()
+            .filter(|name| !current.contains_key(name))
+        {
             self.targets.remove(&name);
             self.version += 1;
-            self.gone.insert(self.version, name);
+            self.removed.insert(self.version, name);
         }
         for target in targets {
-            self.note(target);
+            self.record(target);
         }
-        while self.gone.len() > MOST_GONE {
-            if let Some((version, _)) = self.gone.pop_first() {
-                self.forgotten = version;
+        while self.removed.len() > MAX_REMOVED {
+            if let Some((version, _)) = self.removed.pop_first() {
+                self.discarded_up_to = version;
             }
         }
     }
 
-    fn note(&mut self, target: ListedTarget) {
+    fn record(&mut self, target: ListedTarget) {
         let known = self.targets.get_mut(&target.name);
         if let Some((_, known)) = known {
-            // Usage changes all the time, and alone is no change.
+            // Usage changes all the time, so it alone makes no new version.
             known.busy = target.busy;
             if *known == target {
                 return;
@@ -53,18 +59,18 @@
         self.targets.insert(entry.1.name.clone(), entry);
     }
 
-    /// Returns what has changed since a version, or the whole list for
-    /// version 0 and for those that are not remembered.
+    /// Returns the changes since the version `after`, or the complete list if
+    /// `after` is 0, unknown or too old.
     #[must_use]
     pub fn read(&self, after: u64) -> TargetList {
-        let known = after > 0 && after >= self.forgotten && after <= self.version;
-        if !known {
+        let changes_known = after > 0 && after >= self.discarded_up_to && after <= self.version;
+        if !changes_known {
             let targets = self.targets.values().map(|(_, t)| t.clone()).collect();
             return TargetList::whole(self.version, targets);
         }
         let changed = self.targets.values().filter(|(v, _)| *v > after);
-        let gone = self.gone.range(after + 1..).map(|(_, name)| name);
-        // A name that came back is listed, not gone.
+        let gone = self.removed.range(after + 1..).map(|(_, name)| name);
+        // A removed target may have been listed again since.
         let gone = gone.filter(|name| !self.targets.contains_key(*name));
         TargetList {
             version: self.version,
--- a/crates/entry-standins/src/platform.rs
+++ b/crates/entry-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, with faults that are switched on from outside.
+//! HTTP stand-in for the platform. Faults are injected through `/control`.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,51 +15,52 @@
 use crate::list::VersionedTargetList;
 use crate::table::Table;
 
-/// A target as the settings name it.
+/// A target in the settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct TargetSettings {
-    /// Its name.
+    /// Its name in the list.
     pub name: Name,
-    /// Its hall.
+    /// The hall in which it is listed.
     pub hall: Name,
-    /// Its address.
+    /// The address of its task interface.
     pub address: SocketAddr,
-    /// Tasks that it runs at once.
+    /// The number of tasks that it can run at the same time.
     pub slots: u32,
 }
 
-/// Settings of the stand-in.
+/// Settings of the platform's stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// The targets that it lists.
+    /// The targets in its list.
     #[serde(default)]
     pub targets: Vec<TargetSettings>,
 }
 
-/// What is wrong with the platform at the moment.
+/// The faults that are injected.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Faults {
-    /// Nothing is answered and nothing takes place.
+    /// Requests are held back until their clients give up.
     pub outage: bool,
-    /// Every answer comes this many ms late.
+    /// Requests are delayed by this many ms before they are carried out.
     pub slow_ms: u64,
-    /// This many commits take place without an answer.
+    /// The number of further commit requests that are handled without an
+    /// answer.
     pub lose_answers: u32,
-    /// Only commits that write a key with this prefix lose their answer.
+    /// Restricts `lose_answers` to commits that write a key with this prefix.
     pub lose_answers_of: String,
-    /// The list keeps to what it was.
+    /// The list isn't updated.
     pub list_stale: bool,
-    /// Targets that the list shows as leaving.
+    /// The names of targets listed as leaving.
     pub leaving: Vec<Name>,
 }
 
 impl Faults {
-    fn loses_answer_of(&self, op: &TableOp) -> bool {
+    fn can_lose_answer_to(&self, op: &TableOp) -> bool {
         let TableOp::Commit { writes, .. } = op else {
             return false;
         };
@@ -84,7 +85,7 @@
 }
 
 impl Platform {
-    /// Creates a platform that lists some targets.
+    /// Creates a platform with an empty table that lists the given targets.
     #[must_use]
     pub fn new(targets: Vec<TargetSettings>) -> Self {
         let platform = Self::default();
@@ -92,7 +93,7 @@
         platform
     }
 
-    /// Handles one request.
+    /// Handles one request, subject to the injected faults.
     pub async fn handle(self, req: HttpRequest) -> HttpReply {
         if req.path == "/control" {
             return self.control(&req);
@@ -102,7 +103,7 @@
             (faults.outage, faults.slow_ms)
         };
         if outage {
-            never().await;
+            withhold_answer().await;
         }
         if slow_ms > 0 {
             monoio::time::sleep(Duration::from_millis(slow_ms)).await;
@@ -117,38 +118,39 @@
 
     fn control(&self, req: &HttpRequest) -> HttpReply {
         if req.method == Method::GET {
-            return json(&self.state.borrow().faults);
+            return json_reply(&self.state.borrow().faults);
         }
         match serde_json::from_slice(&req.body) {
             Ok(faults) => {
                 self.state.borrow_mut().faults = faults;
                 HttpReply::json(StatusCode::OK, "{}")
             }
-            Err(error) => bad(&error),
+            Err(error) => bad_request(&error),
         }
     }
 
     async fn table(&self, req: &HttpRequest) -> HttpReply {
         let op: TableOp = match serde_json::from_slice(&req.body) {
             Ok(op) => op,
-            Err(error) => return bad(&error),
+            Err(error) => return bad_request(&error),
         };
-        let (result, lost) = {
+        let (result, lose_answer) = {
             let mut state = self.state.borrow_mut();
             let result = state.table.apply(&op);
-            let lose = state.faults.lose_answers > 0 && state.faults.loses_answer_of(&op);
-            if lose {
+            let lose_answer = state.faults.lose_answers > 0 && state.faults.can_lose_answer_to(&op);
+            if lose_answer {
                 state.faults.lose_answers -= 1;
             }
-            (result, lose)
+            (result, lose_answer)
         };
-        if lost {
-            never().await;
+        if lose_answer {
+            withhold_answer().await;
         }
-        json(&result)
+        json_reply(&result)
     }
 
-    /// Answers the list, or with `after` in the query what changed since.
+    /// Returns the list of targets, or the changes since version `after` if the
+    /// query has it.
     fn hosts(&self, req: &HttpRequest) -> HttpReply {
         let after = req.query.strip_prefix("after=");
         let after = after.and_then(|v| v.parse().ok()).unwrap_or(0);
@@ -166,7 +168,7 @@
             let targets = state.targets.iter().map(listed).collect();
             state.list.refresh(targets);
         }
-        json(&state.list.read(after))
+        json_reply(&state.list.read(after))
     }
 
     fn object(&self, req: &HttpRequest) -> HttpReply {
@@ -182,16 +184,16 @@
     }
 }
 
-/// Keeps a request without an answer for longer than anybody waits.
-async fn never() {
+/// Delays a request for longer than any client waits.
+async fn withhold_answer() {
     monoio::time::sleep(Duration::from_secs(120)).await;
 }
 
-pub(crate) fn json(value: &impl Serialize) -> HttpReply {
-    let body = serde_json::to_vec(value).expect("plain data has a JSON form");
+pub(crate) fn json_reply(value: &impl Serialize) -> HttpReply {
+    let body = serde_json::to_vec(value).expect("plain data is always encodable");
     HttpReply::json(StatusCode::OK, body)
 }
 
-pub(crate) fn bad(error: &serde_json::Error) -> HttpReply {
+pub(crate) fn bad_request(error: &serde_json::Error) -> HttpReply {
     HttpReply::new(StatusCode::BAD_REQUEST, "text/plain", format!("{error}\n"))
 }
--- a/crates/entry-standins/src/runner.rs
+++ b/crates/entry-standins/src/runner.rs
@@ -1,4 +1,5 @@
-//! What a runner knows of its tasks, without any input or output.
+//! The state of a runner's slots and tasks, without I/O. Shared by the HTTP
+//! stand-in and the simulator.
 
 use std::collections::HashMap;
 
@@ -6,46 +7,49 @@
 use gannetridge_entry_wire::{Epoch, ShardId, TaskId, Time};
 use serde::{Deserialize, Serialize};
 
-/// Most that a host's clock differs from the runner's, in ms.
-const BOOT_DOUBT_MS: u64 = 500;
-/// How long a task without `run-ms=` takes, in ms.
-const USUAL_MS: u64 = 50;
+/// The assumed bound on the difference between a host's clock and the runner's.
+const MAX_CLOCK_SKEW_MS: u64 = 500;
+/// The duration of a task whose input doesn't name one.
+const DEFAULT_RUN_MS: u64 = 50;
 
 #[derive(Clone, Debug)]
-enum Known {
+enum TaskState {
     Running {
+        /// True once the task was asked to stop.
         stop: bool,
     },
-    /// How it ended, or that it never will be begun.
+    /// The task has ended, or must never be started; holds the report to give
+    /// from now on.
     Ended(TaskReport),
 }
 
-/// What a runner has counted.
+/// Counters of a runner, for tests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Counts {
-    /// Tasks begun.
+    /// The number of starts in all.
     pub begun: u64,
-    /// Tasks of a submission, without regard to runs, begun more than once.
+    /// The number of tasks started more than once, counting all runs of a task
+    /// together. Covers the time since the last restart.
     pub begun_twice: u64,
 }
 
-/// A runner's slots and tasks.
+/// The slots and tasks of one runner.
 #[derive(Clone, Debug, Default)]
 pub struct Runner {
     slots: u32,
     busy: u32,
-    tasks: HashMap<TaskId, Known>,
+    tasks: HashMap<TaskId, TaskState>,
     fences: HashMap<ShardId, Epoch>,
-    begun: u64,
-    /// When its process was started.
-    boot: Time,
-    /// True once it takes no new work.
+    starts: u64,
+    /// When its process last started.
+    started_at: Time,
+    /// True while it accepts no new tasks.
     pub leaving: bool,
 }
 
 impl Runner {
-    /// Creates an idle runner.
+    /// Creates an idle runner. Call [`Runner::restart`] to set its start time.
     #[must_use]
     pub fn new(slots: u32) -> Self {
         Self {
@@ -54,28 +58,28 @@
         }
     }
 
-    /// Returns the slots in use.
+    /// Returns the number of slots in use.
     #[must_use]
     pub fn busy(&self) -> u32 {
         self.busy
     }
 
-    /// Returns the slots in all.
+    /// Returns the total number of slots.
     #[must_use]
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Takes a slot for a task.
+    /// Starts a task and occupies a slot for it.
     ///
     /// # Errors
     ///
-    /// Fails with what is to be answered at once if the task isn't begun.
+    /// If the task isn't started, returns the report to send at once.
     pub fn start(&mut self, start: &StartTask, now: Time) -> Result<(), TaskReport> {
         let refused = |reason| Err(TaskReport::Refused { reason });
         match self.tasks.get(&start.task) {
-            Some(Known::Running { .. }) => return Err(TaskReport::Running),
-            Some(Known::Ended(report)) => return Err(report.clone()),
+            Some(TaskState::Running { .. }) => return Err(TaskReport::Running),
+            Some(TaskState::Ended(report)) => return Err(report.clone()),
             None => {}
         }
         if self.leaving {
@@ -93,107 +97,117 @@
             return refused(StartRefusal::Full);
         }
         self.busy += 1;
-        self.begun += 1;
+        self.starts += 1;
         self.tasks
-            .insert(start.task.clone(), Known::Running { stop: false });
+            .insert(start.task.clone(), TaskState::Running { stop: false });
         Ok(())
     }
 
-    /// Notes how a running task ended.
+    /// Records how a running task ended and frees its slot. Ignores tasks that
+    /// aren't running.
     pub fn record_end(&mut self, task: &TaskId, report: TaskReport) {
-        if let Some(Known::Running { .. }) = self.tasks.get(task) {
+        if let Some(TaskState::Running { .. }) = self.tasks.get(task) {
             self.busy -= 1;
-            self.tasks.insert(task.clone(), Known::Ended(report));
+            self.tasks.insert(task.clone(), TaskState::Ended(report));
         }
     }
 
-    /// Answers a question. A task that isn't known never will be begun.
+    /// Returns the state of a task, and stops it if requested. A task that isn't
+    /// known is never started afterwards.
     ///
-    /// A start sent less than half a second after the process began may
-    /// have reached the one before it.
+    /// A start sent before this process started, with regard to the clock skew,
+    /// may have reached its predecessor, so that the task may have run.
     pub fn query(&mut self, ask: &AskTask) -> TaskReport {
         match self.tasks.get_mut(&ask.task) {
-            Some(Known::Running { stop }) => {
+            Some(TaskState::Running { stop }) => {
                 *stop |= ask.stop;
                 TaskReport::Running
             }
-            Some(Known::Ended(report)) => report.clone(),
+            Some(TaskState::Ended(report)) => report.clone(),
             None => {
-                let doubt = ask.sent < self.boot.plus_millis(BOOT_DOUBT_MS);
-                let report = if doubt {
+                let may_have_run = ask.sent < self.started_at.plus_millis(MAX_CLOCK_SKEW_MS);
+                let report = if may_have_run {
                     TaskReport::Over
                 } else {
                     TaskReport::NeverBegun
                 };
-                let known = Known::Ended(report.clone());
-                self.tasks.insert(ask.task.clone(), known);
+                let state = TaskState::Ended(report.clone());
+                self.tasks.insert(ask.task.clone(), state);
                 report
             }
         }
     }
 
-    /// Tells whether a running task was asked to stop.
+    /// Returns true if the task is running and was asked to stop.
     #[must_use]
     pub fn is_stopped(&self, task: &TaskId) -> bool {
-        matches!(self.tasks.get(task), Some(Known::Running { stop: true }))
+        matches!(
+            self.tasks.get(task),
+            Some(TaskState::Running { stop: true })
+        )
     }
 
-    /// Returns how a task ended, if it did.
+    /// Returns how a task ended, if it has, or why it must never be started.
     #[must_use]
     pub fn end_report(&self, task: &TaskId) -> Option<TaskReport> {
         match self.tasks.get(task) {
-            Some(Known::Ended(report)) => Some(report.clone()),
+            Some(TaskState::Ended(report)) => Some(report.clone()),
             _ => None,
         }
     }
 
-    /// Returns the tasks that run.
+    /// Returns the running tasks, in order of their ids.
     #[must_use]
     pub fn running_tasks(&self) -> Vec<TaskId> {
-        let running = |(_, known): &(&TaskId, &Known)| matches!(known, Known::Running { .. });
+        let is_running =
+            |(_, state): &(&TaskId, &TaskState)| matches!(state, TaskState::Running { .. });
         let mut ids: Vec<TaskId> = self
             .tasks
             .iter()
-            .filter(running)
+            .filter(is_running)
             .map(|(id, _)| id.clone())
             .collect();
         ids.sort();
         ids
     }
 
-    /// Starts anew, with nothing running and nothing remembered.
+    /// Simulates a restart of the process: no task is running or known, and no
+    /// fence. The count of starts and `leaving` stay.
     pub fn restart(&mut self, now: Time) {
         self.busy = 0;
         self.tasks.clear();
         self.fences.clear();
-        self.boot = now;
+        self.started_at = now;
     }
 
-    /// Returns what was counted.
+    /// Returns the counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         let mut runs: HashMap<_, u64> = HashMap::new();
-        for (id, known) in &self.tasks {
-            let never = matches!(
-                known,
-                Known::Ended(TaskReport::NeverBegun | TaskReport::Over)
+        for (id, state) in &self.tasks {
+            let never_started = matches!(
+                state,
+                TaskState::Ended(TaskReport::NeverBegun | TaskReport::Over)
             );
-            if !never {
+            if !never_started {
                 let task = (&id.account, &id.submission, id.index);
                 *runs.entry(task).or_default() += 1;
             }
         }
         Counts {
-            begun: self.begun,
+            begun: self.starts,
             begun_twice: runs.values().filter(|n| **n > 1).count() as u64,
         }
     }
 }
 
-/// Returns how long a task takes on a runner of ordinary speed, in ms.
+/// Returns the duration of a task at normal speed, in ms: N for an input that
+/// begins with `run-ms=N`.
 #[must_use]
 pub fn nominal_run_ms(input: &str) -> u64 {
-    let named = input.strip_prefix("run-ms=");
-    let digits = named.map(|rest| rest.split_whitespace().next().unwrap_or_default());
-    digits.and_then(|d| d.parse().ok()).unwrap_or(USUAL_MS)
+    let rest = input.strip_prefix("run-ms=");
+    let digits = rest.map(|rest| rest.split_whitespace().next().unwrap_or_default());
+    digits
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(DEFAULT_RUN_MS)
 }
--- a/crates/entry-standins/src/table.rs
+++ b/crates/entry-standins/src/table.rs
@@ -1,22 +1,23 @@
-//! A transactional table in memory.
+//! An in-memory stand-in for the platform's transactional table.
 
 use std::collections::BTreeMap;
 
 use gannetridge_entry_wire::platform::{Row, TableOp, TableResult};
 use gannetridge_wire::Name;
 
-/// Rows with versions.
+/// Versioned rows, by key.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
+    /// The version and value of each row.
     rows: BTreeMap<Name, (u64, Name)>,
-    /// Commits that took place.
+    /// The number of commits carried out; conflicts don't count.
     pub commits: u64,
-    /// Reads that took place.
+    /// The number of `Get` and `Scan` operations.
     pub reads: u64,
 }
 
 impl Table {
-    /// Carries an operation out.
+    /// Executes an operation.
     pub fn apply(&mut self, op: &TableOp) -> TableResult {
         match op {
             TableOp::Get { key } => {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Returns a row's value.
+    /// Returns a row's value, if the row exists.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<Name> {
         self.rows.get(key).map(|(_, value)| value.clone())
--- a/crates/entry-standins/src/worker.rs
+++ b/crates/entry-standins/src/worker.rs
@@ -1,8 +1,8 @@
-//! Runners on workers over HTTP: slots, leases, and faults that are switched
-//! on from outside.
+//! HTTP stand-in for the runners on workers: slots, leases and faults, which
+//! are injected through `/control`.
 //!
-//! A task's input may begin with `run-ms=N`; the runner then takes N ms for
-//! it. The output is the input.
+//! A task does no work: it lasts N ms if its input begins with `run-ms=N`, else
+//! a default time, and its output is its input.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,43 +16,43 @@
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
 
-use crate::platform::{bad, json};
+use crate::platform::{bad_request, json_reply};
 use crate::runner::{nominal_run_ms, Runner};
 
-/// How often a running task looks whether it must end.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often a running task checks whether it has to stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A runner as the settings name it.
+/// A runner in the settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RunnerSettings {
-    /// Its name.
+    /// Names the runner in error messages.
     pub name: Name,
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// Tasks that it runs at once.
+    /// The number of tasks that it can run at the same time.
     pub slots: u32,
 }
 
-/// Settings of the stand-in.
+/// Settings of the workers' stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct WorkersSettings {
-    /// The runners of this process.
+    /// The runners that this process serves.
     pub runners: Vec<RunnerSettings>,
 }
 
-/// What is wrong with a runner at the moment.
+/// The faults that are injected into a runner.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Faults {
-    /// It takes no new work.
+    /// The runner accepts no new tasks.
     pub leaving: bool,
-    /// Tasks take this many times as long.
+    /// Tasks take this many times as long; 0 and 1 mean normal speed.
     pub slower: u64,
-    /// Tasks fail at their end.
+    /// Tasks fail when they end.
     pub failing: bool,
-    /// Answers are held back, as if the connection had broken.
+    /// Replies about tasks are withheld, as after a lost connection.
     pub mute: bool,
 }
 
@@ -62,7 +62,7 @@
     faults: Faults,
 }
 
-/// One runner's stand-in. Clones share its state.
+/// The stand-in for one runner. Clones share its state.
 #[derive(Clone)]
 pub struct RunnerServer {
     state: Rc<RefCell<State>>,
@@ -74,7 +74,7 @@
 }
 
 impl RunnerServer {
-    /// Creates an idle runner.
+    /// Creates an idle runner that starts now.
     #[must_use]
     pub fn new(slots: u32) -> Self {
         let mut runner = Runner::new(slots);
@@ -92,15 +92,15 @@
     pub async fn handle(self, req: HttpRequest) -> HttpReply {
         match req.path.as_str() {
             "/v1/tasks" => match serde_json::from_slice(&req.body) {
-                Ok(start) => self.say(self.start(start).await).await,
-                Err(error) => bad(&error),
+                Ok(start) => self.reply(self.start(start).await).await,
+                Err(error) => bad_request(&error),
             },
             "/v1/tasks/ask" => match serde_json::from_slice(&req.body) {
                 Ok(ask) => {
                     let report = self.state.borrow_mut().runner.query(&ask);
-                    self.say(report).await
+                    self.reply(report).await
                 }
-                Err(error) => bad(&error),
+                Err(error) => bad_request(&error),
             },
             "/control" => match serde_json::from_slice::<Faults>(&req.body) {
                 Ok(faults) => {
@@ -109,29 +109,29 @@
                     state.faults = faults;
                     HttpReply::json(StatusCode::OK, "{}")
                 }
-                Err(error) => bad(&error),
+                Err(error) => bad_request(&error),
             },
-            "/counts" => json(&self.state.borrow().runner.counts()),
+            "/counts" => json_reply(&self.state.borrow().runner.counts()),
             _ => HttpReply::new(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
         }
     }
 
-    async fn say(&self, report: TaskReport) -> HttpReply {
+    async fn reply(&self, report: TaskReport) -> HttpReply {
         let mute = self.state.borrow().faults.mute;
         if mute {
             monoio::time::sleep(Duration::from_secs(120)).await;
         }
-        json(&report)
+        json_reply(&report)
     }
 
     async fn start(&self, start: StartTask) -> TaskReport {
-        let begun = self.state.borrow_mut().runner.start(&start, now());
-        if let Err(report) = begun {
+        let started = self.state.borrow_mut().runner.start(&start, now());
+        if let Err(report) = started {
             return report;
         }
-        let (ran_ms, whole) = self.run(&start).await;
+        let (ran_ms, completed) = self.run(&start).await;
         let mut state = self.state.borrow_mut();
-        let report = if whole && !state.faults.failing {
+        let report = if completed && !state.faults.failing {
             TaskReport::Done {
                 output: start.input,
                 ran_ms,
@@ -143,23 +143,24 @@
         report
     }
 
-    /// Runs a task. Tells how long, and whether to its end.
+    /// Waits for a task's duration, or until it is stopped or its lease expires.
+    /// Returns how long it ran in ms, and true if it completed.
     async fn run(&self, start: &StartTask) -> (u64, bool) {
         let slower = self.state.borrow().faults.slower.max(1);
-        let whole = Duration::from_millis(nominal_run_ms(&start.input) * slower);
+        let duration = Duration::from_millis(nominal_run_ms(&start.input) * slower);
         let lease = Duration::from_millis(start.lease_ms);
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
-            let elapsed = began.elapsed();
+            let elapsed = started_at.elapsed();
             let ran_ms = elapsed.as_millis() as u64;
-            if elapsed >= whole {
+            if elapsed >= duration {
                 return (ran_ms, true);
             }
             let stopped = self.state.borrow().runner.is_stopped(&start.task);
             if stopped || elapsed >= lease {
                 return (ran_ms, false);
             }
-            monoio::time::sleep(LOOK.min(whole - elapsed)).await;
+            monoio::time::sleep(STOP_CHECK_INTERVAL.min(duration - elapsed)).await;
         }
     }
 }
--- a/crates/entry-standins/tests/list.rs
+++ b/crates/entry-standins/tests/list.rs
@@ -1,4 +1,5 @@
-//! The list of targets: what changed since a version, and what it adds up to.
+//! Reading the list of targets by changes: they must add up to the complete
+//! list.
 
 use gannetridge_entry_standins::list::VersionedTargetList;
 use gannetridge_entry_wire::platform::{ListedTarget, TargetList};
@@ -14,32 +15,32 @@
     }
 }
 
-/// A state of the targets, as (name, busy, leaving).
+/// The targets at one time, as (name, busy, leaving).
 type Step<'a> = &'a [(&'a str, u32, bool)];
 
-/// Declares tests, each a name, the states that follow each other, and the
-/// number of entries told after the last step.
-macro_rules! followed {
-    ($($name:ident: $steps:expr => $told:expr;)+) => {
+/// Declares tests, each from a name, the successive states of the targets, and
+/// the number of entries in the reply after the last one.
+macro_rules! entries_in_last_reply {
+    ($($name:ident: $steps:expr => $entries:expr;)+) => {
         $(#[test]
         fn $name() {
             let steps: &[Step<'_>] = $steps;
-            assert_eq!(follow(steps), $told);
+            assert_eq!(follow(steps), $entries);
         })+
     };
 }
 
-/// Follows a list by its changes, checks that they add up to the whole list,
-/// and returns how many entries the last reading had.
+/// Follows a list by its changes, checks after each step that they add up to
+/// the complete list, and returns the number of entries in the last reply.
 fn follow(steps: &[Step<'_>]) -> usize {
     let mut list = VersionedTargetList::default();
     let mut known = TargetList::default();
-    let mut told = 0;
+    let mut entries = 0;
     for step in steps {
         list.refresh(step.iter().map(|(n, b, l)| target(n, *b, *l)).collect());
-        let news = list.read(known.version);
-        told = news.targets.len() + news.gone.len();
-        known.merge(news);
+        let reply = list.read(known.version);
+        entries = reply.targets.len() + reply.gone.len();
+        known.merge(reply);
         let mut names: Vec<_> = known
             .targets
             .iter()
@@ -50,32 +51,32 @@
         expected.sort_unstable();
         assert_eq!(names, expected);
     }
-    told
+    entries
 }
 
-followed! {
-    the_first_reading_is_whole: &[&[("a", 0, false), ("b", 0, false)]] => 2;
-    nothing_changed: &[&[("a", 0, false)], &[("a", 0, false)]] => 0;
-    usage_is_no_change: &[&[("a", 0, false)], &[("a", 5, false)]] => 0;
-    one_leaves: &[&[("a", 0, false), ("b", 0, false)], &[("a", 0, true), ("b", 0, false)]] => 1;
-    one_is_gone: &[&[("a", 0, false), ("b", 0, false)], &[("b", 0, false)]] => 1;
-    one_comes_back: &[&[("a", 0, false), ("b", 0, false)], &[("b", 0, false)], &[("a", 0, false), ("b", 0, false)]] => 1;
+entries_in_last_reply! {
+    the_first_reply_is_complete: &[&[("a", 0, false), ("b", 0, false)]] => 2;
+    without_a_change_the_reply_is_empty: &[&[("a", 0, false)], &[("a", 0, false)]] => 0;
+    usage_alone_is_no_change: &[&[("a", 0, false)], &[("a", 5, false)]] => 0;
+    a_leaving_target_is_a_change: &[&[("a", 0, false), ("b", 0, false)], &[("a", 0, true), ("b", 0, false)]] => 1;
+    a_removed_target_is_a_change: &[&[("a", 0, false), ("b", 0, false)], &[("b", 0, false)]] => 1;
+    a_target_listed_again_is_one_change: &[&[("a", 0, false), ("b", 0, false)], &[("b", 0, false)], &[("a", 0, false), ("b", 0, false)]] => 1;
 }
 
 #[test]
-fn a_version_that_is_not_known_gets_the_whole_list() {
+fn an_unknown_version_gets_the_complete_list() {
     let mut list = VersionedTargetList::default();
     list.refresh(vec![target("a", 0, false)]);
-    let news = list.read(99);
-    assert!(news.whole);
+    let reply = list.read(99);
+    assert!(reply.whole);
     let mut known = TargetList::whole(99, vec![target("old", 0, false)]);
-    known.merge(news);
+    known.merge(reply);
     assert_eq!(known.version, 1);
     assert_eq!(known.targets.len(), 1);
 }
 
 #[test]
-fn a_reply_that_comes_late_takes_nothing_back() {
+fn a_delayed_reply_doesnt_revert_newer_changes() {
     let mut list = VersionedTargetList::default();
     list.refresh(vec![target("a", 0, false)]);
     let first = list.read(0);
--- a/crates/entry-standins/tests/runner.rs
+++ b/crates/entry-standins/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The stand-in for runners keeps its word.
+//! The rules by which the runner's stand-in starts tasks and answers queries.
 
 use gannetridge_entry_standins::runner::Runner;
 use gannetridge_entry_wire::target::{AskTask, StartRefusal, StartTask, TaskReport};
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_task_asked_after_is_never_begun_later() {
+fn a_task_is_not_started_after_a_query_for_it() {
     let mut runner = Runner::new(8);
     assert_eq!(runner.query(&ask(0, NOW)), TaskReport::NeverBegun);
     assert_eq!(
@@ -79,10 +79,10 @@
     );
 }
 
-/// Failed first with `NeverBegun` for the second question, which led to a
-/// second start: seed 1919 of the randomised run.
+/// A repeated query answered with `NeverBegun` would lead to a second start of a
+/// task that may have run before the restart.
 #[test]
-fn a_restarted_runner_says_over_as_often_as_it_is_asked() {
+fn a_restarted_runner_reports_over_for_every_query() {
     let mut runner = Runner::new(8);
     assert_eq!(runner.start(&start(0, 1, 0), NOW), Ok(()));
     runner.restart(NOW.plus_millis(5));
