--- a/crates/entry-config/src/account.rs
+++ b/crates/entry-config/src/account.rs
@@ -8,15 +8,16 @@
 
 use crate::check::{describe_value, Fault, TableReader};
 
-/// The scheduling class of an account's jobs; the derived order puts the most
-/// urgent first.
+/// The scheduling class of an account's jobs. The most urgent class comes first
+/// in the derived order, and is served first among accounts within their quota
+/// as well as among those over it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
-    /// Goes before all others.
+    /// Is served before the other classes.
     Urgent,
     /// Applies where the document names none.
     Normal,
-    /// Goes after all others.
+    /// Is served after the other classes.
     Background,
 }
 
@@ -35,7 +36,7 @@
 /// A client account, on whose behalf jobs run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// The halls that its jobs may use, at least one; the first is preferred.
+    /// The halls that its jobs may use, at least one.
     pub halls: Vec<Name>,
     /// Applies to all of its jobs.
     pub urgency: Urgency,
