--- a/crates/entry-call/src/job.rs
+++ b/crates/entry-call/src/job.rs
@@ -24,7 +24,7 @@
     pub parameters: BTreeMap<String, ParameterValue>,
     /// The tasks, which run in parallel.
     pub tasks: Vec<TaskSpec>,
-    /// How long after its submission the job's answer is useful, in ms.
+    /// How long after the id's creation the answer is still useful, in ms.
     pub deadline_ms: u64,
 }
 
