--- a/crates/entry-sim/src/chaos.rs
+++ b/crates/entry-sim/src/chaos.rs
@@ -69,7 +69,7 @@
 /// # Errors
 ///
 /// Fails with the message if an invariant inside the core was broken.
-pub fn run_caught(
+pub fn run_catching_panics(
     seed: u64,
     load_ms: u64,
     safeguards: Safeguards,
--- a/crates/entry-sim/src/report.rs
+++ b/crates/entry-sim/src/report.rs
@@ -57,7 +57,7 @@
     /// Events handled.
     pub events: u64,
     /// Tasks begun.
-    pub begun: u64,
+    pub tasks_started: u64,
     /// Wasted messages by kind.
     pub wasted: BTreeMap<&'static str, u64>,
     /// By account.
--- a/crates/entry-sim/src/starts.rs
+++ b/crates/entry-sim/src/starts.rs
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn begun(&mut self, runner: usize, start: &StartTask) {
-        self.report.begun += u64::from(self.is_measured());
+        self.report.tasks_started += u64::from(self.is_measured());
         let id = &start.task;
         let Some(job) = self.callers.find(&id.account, &id.submission) else {
             return;
--- a/crates/entry-sim/tests/policy.rs
+++ b/crates/entry-sim/tests/policy.rs
@@ -83,7 +83,7 @@
 }
 
 fn wasted_per_1000(report: &Report) -> f64 {
-    report.wasted_in_all() as f64 * 1_000.0 / report.begun.max(1) as f64
+    report.wasted_in_all() as f64 * 1_000.0 / report.tasks_started.max(1) as f64
 }
 
 #[test]
--- a/crates/entry-sim/tests/promises.rs
+++ b/crates/entry-sim/tests/promises.rs
@@ -1,7 +1,7 @@
 //! The short form of the randomised runs.
 
 use gannetridge_entry_core::Safeguards;
-use gannetridge_entry_sim::chaos::run_caught;
+use gannetridge_entry_sim::chaos::run_catching_panics;
 use gannetridge_entry_sim::mutants::ALL;
 use gannetridge_entry_sim::parallel::map;
 
@@ -13,7 +13,7 @@
 ];
 
 fn violations(seed: u64, safeguards: Safeguards) -> Vec<String> {
-    match run_caught(seed, LOAD_MS, safeguards) {
+    match run_catching_panics(seed, LOAD_MS, safeguards) {
         Ok((_, checks)) => checks.counts().keys().cloned().collect(),
         Err(message) => vec![message],
     }
@@ -39,10 +39,10 @@
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let run = |seed| run_caught(seed, 20_000, Safeguards::default()).expect("no panic");
+    let run = |seed| run_catching_panics(seed, 20_000, Safeguards::default()).expect("no panic");
     let (first, second) = (run(7).0, run(7).0);
     assert_eq!(first.events, second.events);
-    assert_eq!(first.begun, second.begun);
+    assert_eq!(first.tasks_started, second.tasks_started);
     assert_eq!(first.causes, second.causes);
 }
 
--- a/crates/entry-sim/tests/traces.rs
+++ b/crates/entry-sim/tests/traces.rs
@@ -30,7 +30,7 @@
         report.causes,
         report.reasons,
         report.changes,
-        report.begun,
+        report.tasks_started,
         checks.violations
     )
 }
--- a/crates/lab/src/cmd/chaos.rs
+++ b/crates/lab/src/cmd/chaos.rs
@@ -4,7 +4,7 @@
 
 use anyhow::bail;
 use gannetridge_entry_core::Safeguards;
-use gannetridge_entry_sim::chaos::run_caught;
+use gannetridge_entry_sim::chaos::run_catching_panics;
 use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
@@ -52,7 +52,7 @@
     let seeds: Vec<u64> = (options.seed..options.seed + options.seeds).collect();
     let load_ms = options.load_ms;
     let runs = map(&seeds, |seed| {
-        run_caught(*seed, load_ms, Safeguards::default())
+        run_catching_panics(*seed, load_ms, Safeguards::default())
     });
     let mut sum = Sum::default();
     for (seed, run) in seeds.iter().zip(runs) {
@@ -71,7 +71,7 @@
         }
         let total = report.total();
         sum.events += report.events;
-        sum.started += report.begun;
+        sum.started += report.tasks_started;
         sum.jobs += total.jobs;
         sum.complete += total.complete;
         sum.failed += total.failed;
--- a/crates/lab/src/cmd/mutants.rs
+++ b/crates/lab/src/cmd/mutants.rs
@@ -2,7 +2,7 @@
 
 use anyhow::bail;
 use gannetridge_entry_core::Safeguards;
-use gannetridge_entry_sim::chaos::run_caught;
+use gannetridge_entry_sim::chaos::run_catching_panics;
 use gannetridge_entry_sim::mutants::ALL;
 use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
@@ -78,7 +78,7 @@
     while seed < options.seed + options.seeds {
         let seeds: Vec<u64> = (seed..seed + SEEDS_PER_BATCH).collect();
         let runs = map(&seeds, |seed| {
-            run_caught(*seed, options.load_ms, safeguards)
+            run_catching_panics(*seed, options.load_ms, safeguards)
         });
         for (seed, run) in seeds.iter().zip(runs) {
             let detected_by = match run {
