--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -1,4 +1,5 @@
-//! Sends what the host wants sent, and tells it what came back.
+//! Sends the host's requests to peers, targets and the platform, and reports the replies
+//! to the core task.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,40 +15,40 @@
 use serde::Serialize;
 use tracing::warn;
 
-use crate::core_task::{Message, Sender};
+use crate::core_task::{Message, MessageSender};
 
-/// The path on which entry hosts take each other's requests.
+/// The path on which entry hosts accept requests of peers.
 pub const PEER_PATH: &str = "/peer/v1";
 /// The media type of messages between entry hosts.
 pub const PEER_TYPE: &str = "application/msgpack";
 const JSON: &str = "application/json";
-/// How long the platform's reply is awaited.
-const PLATFORM_WAIT: Duration = Duration::from_millis(1_500);
+/// Timeout of requests to the platform.
+const PLATFORM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Sends requests in tasks of their own.
+/// Sends each request in a task of its own, and the reply to the core task.
 #[derive(Clone)]
-pub struct Caller {
+pub struct RequestSender {
     client: Client,
     platform: SocketAddr,
-    tx: Sender,
+    tx: MessageSender,
 }
 
-fn failure(error: &CallError) -> SendFailure {
+fn send_failure(error: &CallError) -> SendFailure {
     match error {
         CallError::NotSent(_) => SendFailure::NotSent,
         CallError::Unknown(_) => SendFailure::Unknown,
     }
 }
 
-fn json(value: &impl Serialize) -> Bytes {
+fn to_json(value: &impl Serialize) -> Bytes {
     let body = serde_json::to_vec(value).expect("plain data has a JSON form");
     body.into()
 }
 
-impl Caller {
-    /// Creates a sender whose results go to `tx`.
+impl RequestSender {
+    /// Creates a sender that reports replies to `tx`.
     #[must_use]
-    pub fn new(client: Client, platform: SocketAddr, tx: Sender) -> Self {
+    pub fn new(client: Client, platform: SocketAddr, tx: MessageSender) -> Self {
         Self {
             client,
             platform,
@@ -55,12 +56,12 @@
         }
     }
 
-    fn tell(&self, event: Event) {
-        // The owner of the host is gone only when the process ends.
+    fn report(&self, event: Event) {
+        // The core task ends only when the process does; the event is then not needed.
         let _ = self.tx.send(Message::Event(Box::new(event)));
     }
 
-    /// Sends a request to a peer.
+    /// Sends a request to a peer. The reply becomes an [`Event::PeerReply`].
     pub fn call_peer(&self, call: CallId, address: &str, request: PeerRequest, wait_ms: u64) {
         let this = self.clone();
         let address: Result<SocketAddr, _> = address.parse();
@@ -69,7 +70,7 @@
                 Ok(address) => this.exchange_with_peer(address, &request, wait_ms).await,
                 Err(_) => Err(SendFailure::NotSent),
             };
-            this.tell(Event::PeerReply { call, reply });
+            this.report(Event::PeerReply { call, reply });
         });
     }
 
@@ -80,7 +81,7 @@
         wait_ms: u64,
     ) -> Result<PeerReply, SendFailure> {
         let body = codec::encode(request).map_err(|error| {
-            warn!(%error, "unencodable request");
+            warn!(%error, "failed to encode a request to a peer");
             SendFailure::NotSent
         })?;
         let wait = Duration::from_millis(wait_ms);
@@ -92,21 +93,22 @@
             body.into(),
             wait,
         );
-        let reply = sent.await.map_err(|error| failure(&error))?;
+        let reply = sent.await.map_err(|error| send_failure(&error))?;
         codec::decode(&reply.body).map_err(|error| {
-            warn!(%address, %error, "unreadable reply from a peer");
+            warn!(%address, %error, "failed to decode a reply from a peer");
             SendFailure::Unknown
         })
     }
 
-    /// Starts a task on a target and waits for its end.
+    /// Starts a task on a target. The target replies when the task has ended or was
+    /// refused; the reply becomes an [`Event::TaskReply`].
     pub fn start_task(&self, call: CallId, address: &str, start: &StartTask, wait_ms: u64) {
-        self.call_target(call, address, "/v1/tasks", json(start), wait_ms);
+        self.call_target(call, address, "/v1/tasks", to_json(start), wait_ms);
     }
 
-    /// Asks a target about a task.
+    /// Asks a target for the state of a task. The reply becomes an [`Event::TaskReply`].
     pub fn ask_task(&self, call: CallId, address: &str, ask: &AskTask, wait_ms: u64) {
-        self.call_target(call, address, "/v1/tasks/ask", json(ask), wait_ms);
+        self.call_target(call, address, "/v1/tasks/ask", to_json(ask), wait_ms);
     }
 
     fn call_target(
@@ -127,7 +129,7 @@
                 }
                 Err(_) => Err(SendFailure::NotSent),
             };
-            this.tell(Event::TaskReply { call, reply });
+            this.report(Event::TaskReply { call, reply });
         });
     }
 
@@ -142,20 +144,21 @@
         let sent = self
             .client
             .call(address, Method::POST, path, JSON, body, wait);
-        let reply = sent.await.map_err(|error| failure(&error))?;
+        let reply = sent.await.map_err(|error| send_failure(&error))?;
         serde_json::from_slice(&reply.body).map_err(|error| {
-            warn!(%address, %error, "unreadable reply from a target");
+            warn!(%address, %error, "failed to decode a reply from a target");
             SendFailure::Unknown
         })
     }
 
-    /// Uses the platform's table.
-    pub fn use_table(&self, call: CallId, op: &TableOp) {
+    /// Sends an operation to the platform's table. The reply becomes an
+    /// [`Event::TableReply`].
+    pub fn call_table(&self, call: CallId, op: &TableOp) {
         let this = self.clone();
-        let body = json(op);
+        let body = to_json(op);
         monoio::spawn(async move {
             let reply = this.exchange_with_table(body).await;
-            this.tell(Event::TableReply { call, reply });
+            this.report(Event::TableReply { call, reply });
         });
     }
 
@@ -166,7 +169,7 @@
             "/v1/table",
             JSON,
             body,
-            PLATFORM_WAIT,
+            PLATFORM_TIMEOUT,
         );
         let reply = sent.await.map_err(|error| match error {
             CallError::NotSent(_) => TableFailure::NotDone,
@@ -176,27 +179,33 @@
             return Err(TableFailure::Unclear);
         }
         serde_json::from_slice(&reply.body).map_err(|error| {
-            warn!(%error, "unreadable reply from the table");
+            warn!(%error, "failed to decode a reply from the platform's table");
             TableFailure::Unclear
         })
     }
 
-    /// Reads what changed in the platform's list of targets since a version.
+    /// Reads the changes of the platform's list of targets since the version `after`. A
+    /// list that was read becomes an [`Event::Listed`].
     pub fn read_list(&self, after: u64) {
         let this = self.clone();
         monoio::spawn(async move {
             let body = Bytes::new();
             let path = format!("/v1/hosts?after={after}");
-            let sent =
-                this.client
-                    .call(this.platform, Method::GET, &path, JSON, body, PLATFORM_WAIT);
-            // What fails is read again with the next poll.
+            let sent = this.client.call(
+                this.platform,
+                Method::GET,
+                &path,
+                JSON,
+                body,
+                PLATFORM_TIMEOUT,
+            );
+            // After a failure the next poll reads the list again.
             match sent.await {
                 Ok(reply) => match serde_json::from_slice::<TargetList>(&reply.body) {
-                    Ok(list) => this.tell(Event::Listed(list)),
-                    Err(error) => warn!(%error, "unreadable list of targets"),
+                    Ok(list) => this.report(Event::Listed(list)),
+                    Err(error) => warn!(%error, "failed to decode the list of targets"),
                 },
-                Err(error) => warn!(%error, "the list of targets wasn't read"),
+                Err(error) => warn!(%error, "failed to read the list of targets"),
             }
         });
     }
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,12 +1,12 @@
-//! The process's clock.
+//! Wall-clock time of the process.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use gannetridge_clock::ClockError;
 use gannetridge_entry_wire::Time;
 
-/// Wall-clock time that never goes back: set once when the process starts, and
-/// moved on by a clock that counts the host's suspension.
+/// Wall-clock time that never goes back. It is read from the system once, at the start,
+/// and then advanced by a monotonic clock that includes time in suspension.
 #[derive(Clone)]
 pub struct Clock {
     base: Time,
@@ -14,11 +14,11 @@
 }
 
 impl Clock {
-    /// Starts a clock at the system's time.
+    /// Starts a clock at the system's current time.
     ///
     /// # Errors
     ///
-    /// Fails if the system has no clock that counts suspension.
+    /// Returns an error if the system has no monotonic clock that includes suspension.
     pub fn start() -> Result<Self, ClockError> {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let micros = since_epoch.map_or(0, |d| d.as_micros() as u64);
@@ -28,16 +28,16 @@
         })
     }
 
-    /// Returns the time.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.base
             .plus_micros(self.since_start.now().as_micros() as u64)
     }
 
-    /// Returns how long it is until `time`, nothing if it has passed.
+    /// Returns the time left until `time`, or zero if it has passed.
     #[must_use]
-    pub fn until(&self, time: Time) -> std::time::Duration {
+    pub fn duration_until(&self, time: Time) -> std::time::Duration {
         std::time::Duration::from_micros(time.micros_since(self.now()))
     }
 }
--- a/crates/entry/src/core_task.rs
+++ b/crates/entry/src/core_task.rs
@@ -1,4 +1,5 @@
-//! The task that owns the host.
+//! The task that owns the host: it handles one message at a time and performs the
+//! actions that the host returns.
 
 use std::collections::HashMap;
 
@@ -9,14 +10,14 @@
 use monoio::time::timeout;
 use tracing::{debug, info};
 
-use crate::calls::Caller;
+use crate::calls::RequestSender;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
-/// A look at the host.
-pub type Look = Box<dyn FnOnce(&Host, &Metrics)>;
+/// Reads the state of the host and its metrics.
+pub type Inspect = Box<dyn FnOnce(&Host, &Metrics)>;
 
-/// What other tasks send to the task that owns the host.
+/// A message to the core task.
 pub enum Message {
     /// A caller's submission.
     Submit(Box<Submission>, oneshot::Sender<Answer>),
@@ -24,61 +25,61 @@
     Peer(Box<PeerRequest>, oneshot::Sender<PeerReply>),
     /// An operator's change.
     Change(ChangeRequest, oneshot::Sender<ChangeAnswer>),
-    /// Something that came back from outside.
+    /// Any event without a request to answer, such as the reply to a call.
     Event(Box<Event>),
-    /// A look at the host.
-    Look(Look),
+    /// Runs a function on the host's current state.
+    Inspect(Inspect),
 }
 
-/// Sends messages to the task that owns the host.
-pub type Sender = unbounded::Tx<Message>;
+/// Sends messages to the core task.
+pub type MessageSender = unbounded::Tx<Message>;
 
-/// A request that waits for the host.
-enum Waiting {
+/// The channel for the reply to an open request.
+enum ReplyChannel {
     Caller(oneshot::Sender<Answer>),
     Peer(oneshot::Sender<PeerReply>),
     Operator(oneshot::Sender<ChangeAnswer>),
 }
 
-/// Owns the host and carries its actions out.
+/// Owns the host and performs its actions.
 pub struct CoreTask {
     host: Host,
     clock: Clock,
     rx: unbounded::Rx<Message>,
-    caller: Caller,
+    requests: RequestSender,
     metrics: Metrics,
-    waiting: HashMap<Token, Waiting>,
+    open_requests: HashMap<Token, ReplyChannel>,
     last_token: u64,
     stopped: bool,
 }
 
 impl CoreTask {
-    /// Creates the task's state.
+    /// Creates the task's state; [`CoreTask::run`] runs it.
     #[must_use]
     pub fn new(
         host: Host,
         clock: Clock,
         rx: unbounded::Rx<Message>,
-        caller: Caller,
+        requests: RequestSender,
         metrics: Metrics,
     ) -> Self {
         Self {
             host,
             clock,
             rx,
-            caller,
+            requests,
             metrics,
-            waiting: HashMap::new(),
+            open_requests: HashMap::new(),
             last_token: 0,
             stopped: false,
         }
     }
 
-    /// Runs until the host has stopped in order, or every sender is gone.
+    /// Runs until the host has shut down gracefully, or all senders were dropped.
     pub async fn run(mut self) {
         while !self.stopped {
             let wait = match self.host.next_timer() {
-                Some(at) => self.clock.until(at),
+                Some(at) => self.clock.duration_until(at),
                 None => std::time::Duration::from_secs(1),
             };
             match timeout(wait, self.rx.recv()).await {
@@ -87,12 +88,12 @@
                 Ok(Some(message)) => self.on_message(message),
             }
         }
-        self.turn_rest_away();
+        self.decline_queued_peer_requests();
     }
 
-    /// Tells peers that nothing was done with what the host hasn't taken.
-    /// Others learn it from their closed channels.
-    fn turn_rest_away(&mut self) {
+    /// Declines the peers' requests left in the channel, so that the peers know that they
+    /// had no effect. Other requests fail when the channel closes.
+    fn decline_queued_peer_requests(&mut self) {
         while let Ok(message) = self.rx.try_recv() {
             if let Message::Peer(_, tx) = message {
                 let _ = tx.send(PeerReply::Declined);
@@ -103,31 +104,31 @@
     fn on_message(&mut self, message: Message) {
         match message {
             Message::Submit(submission, tx) => {
-                let token = self.wait_with(Waiting::Caller(tx));
+                let token = self.register_request(ReplyChannel::Caller(tx));
                 let submission = *submission;
                 self.handle(Event::Submit { token, submission });
             }
             Message::Peer(request, tx) => {
-                let token = self.wait_with(Waiting::Peer(tx));
+                let token = self.register_request(ReplyChannel::Peer(tx));
                 let request = *request;
                 self.handle(Event::Peer { token, request });
             }
             Message::Change(change, tx) => {
-                let token = self.wait_with(Waiting::Operator(tx));
+                let token = self.register_request(ReplyChannel::Operator(tx));
                 self.handle(Event::Change { token, change });
             }
             Message::Event(event) => self.handle(*event),
-            Message::Look(look) => {
-                self.metrics.observe(&self.host);
-                look(&self.host, &self.metrics);
+            Message::Inspect(inspect) => {
+                self.metrics.record_gauges(&self.host);
+                inspect(&self.host, &self.metrics);
             }
         }
     }
 
-    fn wait_with(&mut self, waiting: Waiting) -> Token {
+    fn register_request(&mut self, reply_channel: ReplyChannel) -> Token {
         self.last_token += 1;
         let token = Token(self.last_token);
-        self.waiting.insert(token, waiting);
+        self.open_requests.insert(token, reply_channel);
         token
     }
 
@@ -138,23 +139,23 @@
         }
     }
 
-    // A receiver that is gone has no use for its answer: sends that fail are
-    // passed over below.
+    // A send fails only if the receiver was dropped and needs no answer, so the result is
+    // ignored.
     fn perform(&mut self, action: Action) {
         match action {
             Action::Answer { token, answer } => {
-                if let Some(Waiting::Caller(tx)) = self.waiting.remove(&token) {
+                if let Some(ReplyChannel::Caller(tx)) = self.open_requests.remove(&token) {
                     let _ = tx.send(answer);
                 }
             }
             Action::Reply { token, reply } => {
-                if let Some(Waiting::Peer(tx)) = self.waiting.remove(&token) {
+                if let Some(ReplyChannel::Peer(tx)) = self.open_requests.remove(&token) {
                     let _ = tx.send(reply);
                 }
             }
             Action::ChangeAnswer { token, answer } => {
                 info!(?answer, "operator's change answered");
-                if let Some(Waiting::Operator(tx)) = self.waiting.remove(&token) {
+                if let Some(ReplyChannel::Operator(tx)) = self.open_requests.remove(&token) {
                     let _ = tx.send(answer);
                 }
             }
@@ -163,7 +164,7 @@
                 address,
                 request,
                 wait_ms,
-            } => self.caller.call_peer(call, &address, request, wait_ms),
+            } => self.requests.call_peer(call, &address, request, wait_ms),
             Action::Start {
                 call,
                 target,
@@ -171,28 +172,28 @@
                 start,
                 wait_ms,
             } => {
-                debug!(task = %start.task, %target, epoch = start.epoch.0, "start");
-                self.metrics.start();
-                self.caller.start_task(call, &address, &start, wait_ms);
+                debug!(task = %start.task, %target, epoch = start.epoch.0, "sending task start");
+                self.metrics.count_start();
+                self.requests.start_task(call, &address, &start, wait_ms);
             }
             Action::Ask {
                 call,
                 address,
                 ask,
                 wait_ms,
-            } => self.caller.ask_task(call, &address, &ask, wait_ms),
-            Action::Table { call, op } => self.caller.use_table(call, &op),
-            Action::ReadList { after } => self.caller.read_list(after),
+            } => self.requests.ask_task(call, &address, &ask, wait_ms),
+            Action::Table { call, op } => self.requests.call_table(call, &op),
+            Action::ReadList { after } => self.requests.read_list(after),
             Action::Note(note) => {
-                log(&note);
-                self.metrics.note(&note);
+                log_note(&note);
+                self.metrics.record_note(&note);
             }
             Action::Stopped => self.stopped = true,
         }
     }
 }
 
-fn log(note: &Note) {
+fn log_note(note: &Note) {
     match note {
         Note::Finished {
             account,
@@ -208,6 +209,6 @@
         Note::Wasted(waste) => debug!(kind = waste.as_str(), "message wasted"),
         Note::ShardAcquired { shard, epoch } => info!(shard, epoch, "shard acquired"),
         Note::ShardReleased { shard } => info!(shard, "shard released"),
-        Note::ConfigInForce { version } => info!(version, "configuration in force"),
+        Note::ConfigInForce { version } => info!(version, "configuration took effect"),
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,9 @@
-//! The process of one entry host: sockets around a [`gannetridge_entry_core::Host`].
+//! The process of an entry host: network, clock, log and metrics around a
+//! [`gannetridge_entry_core::Host`], which makes all decisions.
 //!
-//! One task owns the host and its state. Tasks that own sockets send it
-//! messages and wait for its replies; when the channel closes, they end.
+//! The [`core_task`] owns the host. The tasks that serve requests send it messages over
+//! a channel and wait for its replies; [`calls`] sends the host's own requests and returns
+//! their replies over the same channel.
 
 pub mod calls;
 pub mod clock;
--- a/crates/entry/src/logging.rs
+++ b/crates/entry/src/logging.rs
@@ -1,22 +1,22 @@
-//! Sets the log up.
+//! Log output of the process.
 
 use tracing_subscriber::EnvFilter;
 
 use crate::settings::{LogFormat, LogSettings};
 
-/// Writes log lines to the standard error stream from here on.
+/// Installs the global log subscriber, which writes to standard error.
 ///
 /// # Errors
 ///
-/// Fails if the level is no filter, or a log was set up before.
-pub fn start(settings: &LogSettings) -> anyhow::Result<()> {
+/// Returns an error if `level` isn't a valid filter, or a subscriber is installed already.
+pub fn init(settings: &LogSettings) -> anyhow::Result<()> {
     let filter: EnvFilter = settings.level.parse()?;
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
-    let started = match settings.format {
+    let installed = match settings.format {
         LogFormat::Text => builder.try_init(),
         LogFormat::Json => builder.json().flatten_event(true).try_init(),
     };
-    started.map_err(|error| anyhow::anyhow!(error))
+    installed.map_err(|error| anyhow::anyhow!(error))
 }
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,10 +1,11 @@
-//! The process of one entry host.
+//! The entry host's program: reads the settings, starts the servers and the core task,
+//! and shuts down gracefully on a signal.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use anyhow::Context;
-use gannetridge_entry::calls::Caller;
+use gannetridge_entry::calls::RequestSender;
 use gannetridge_entry::clock::Clock;
 use gannetridge_entry::core_task::{CoreTask, Message};
 use gannetridge_entry::metrics::Metrics;
@@ -43,20 +44,20 @@
         print!("{}", toml::to_string(&settings)?);
         return Ok(());
     }
-    logging::start(&settings.log)?;
+    logging::init(&settings.log)?;
     runtime::run(run(settings))?
 }
 
 async fn run(settings: Settings) -> anyhow::Result<()> {
-    // Bound before the host does anything: see `gannetridge_net::bind`.
+    // Both sockets are bound before the host takes any action: see `gannetridge_net::bind`.
     let peer_listener = listen(settings.peer_listen)?;
     let listener = listen(settings.listen)?;
     let clock = Clock::start()?;
-    let host = Host::new(settings.host(clock.now()), clock.now());
+    let host = Host::new(settings.host_settings(clock.now()), clock.now());
     let (tx, rx) = unbounded::channel();
     let client = Client::new(ClientLimits::default());
-    let caller = Caller::new(client, settings.platform, tx.clone());
-    let core = CoreTask::new(host, clock, rx, caller, Metrics::new()?);
+    let requests = RequestSender::new(client, settings.platform, tx.clone());
+    let core = CoreTask::new(host, clock, rx, requests, Metrics::new()?);
 
     let peer_tx = tx.clone();
     let peer_limits = settings.limits.for_peers();
@@ -73,13 +74,13 @@
     monoio::spawn(async move {
         signal.await;
         info!("stopping in order");
-        // The owner of the host may have ended by itself.
+        // The send fails if the core task has ended already.
         let _ = tx.send(Message::Event(Box::new(Event::Stop)));
     });
     info!(name = %settings.name, hall = %settings.hall, listen = %settings.listen, "started");
     core.run().await;
     info!("stopped");
-    // Lets the last answers leave the sockets.
+    // Gives the servers time to write the last replies.
     monoio::time::sleep(std::time::Duration::from_millis(50)).await;
     Ok(())
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, in the text format of Prometheus.
+//! The host's metrics, served in the Prometheus text format.
 
 use gannetridge_entry_core::{Host, Note};
 use gannetridge_net::HttpReply;
@@ -15,7 +15,7 @@
     0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
-/// Everything that is measured.
+/// The instruments of an entry host.
 pub struct Metrics {
     registry: MetricsRegistry,
     ratio: Histogram<f64>,
@@ -30,11 +30,11 @@
 }
 
 impl Metrics {
-    /// Creates the instruments.
+    /// Creates the instruments in a registry of their own.
     ///
     /// # Errors
     ///
-    /// Fails if the registry refuses the exporter.
+    /// Returns an error if the registry can't be set up.
     pub fn new() -> anyhow::Result<Self> {
         let registry = MetricsRegistry::new(TargetInfo::Shown)?;
         let meter = registry.meter();
@@ -69,13 +69,13 @@
         })
     }
 
-    /// Counts a start.
-    pub fn start(&self) {
+    /// Counts a task start sent to a target.
+    pub fn count_start(&self) {
         self.starts.add(1, &[]);
     }
 
-    /// Counts what a host notes.
-    pub fn note(&self, note: &Note) {
+    /// Updates counters and histograms with a note of the host.
+    pub fn record_note(&self, note: &Note) {
         match note {
             Note::Finished {
                 account,
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Takes over what stands at a host.
-    pub fn observe(&self, host: &Host) {
+    /// Sets all gauges to the host's current state.
+    pub fn record_gauges(&self, host: &Host) {
         self.shards
             .record(host.ownership().held_shards().len() as u64, &[]);
         self.config_version.record(host.config().version(), &[]);
@@ -117,11 +117,11 @@
         self.remembered.record(host.ledger_len() as u64, &[]);
     }
 
-    /// Returns all metrics as a reply over HTTP.
+    /// Returns all metrics as an HTTP reply.
     ///
     /// # Errors
     ///
-    /// Fails if a metric can't be encoded.
+    /// Returns an error if a metric can't be encoded.
     pub fn reply(&self) -> anyhow::Result<HttpReply> {
         self.registry.reply()
     }
--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! What entry hosts ask each other, as HTTP.
+//! The HTTP API for peers: MessagePack requests of other entry hosts.
 
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_net::{HttpReply, HttpRequest};
@@ -8,31 +8,31 @@
 use tracing::warn;
 
 use crate::calls::{PEER_PATH, PEER_TYPE};
-use crate::core_task::{Message, Sender};
+use crate::core_task::{Message, MessageSender};
 use crate::problem;
 
-/// Handles one request of a peer.
-pub async fn handle(tx: Sender, req: HttpRequest) -> HttpReply {
+/// Handles a peer's request.
+pub async fn handle(tx: MessageSender, req: HttpRequest) -> HttpReply {
     if req.path != PEER_PATH {
-        return problem::plain(StatusCode::NOT_FOUND, "no-such-path", "No such path");
+        return problem::simple(StatusCode::NOT_FOUND, "no-such-path", "No such path");
     }
     if req.method != Method::POST {
         let status = StatusCode::METHOD_NOT_ALLOWED;
-        return problem::plain(status, "no-such-method", "The path takes POST");
+        return problem::simple(status, "no-such-method", "The path takes POST");
     }
     let request: PeerRequest = match codec::decode(&req.body) {
         Ok(request) => request,
         Err(error) => {
-            warn!(%error, "unreadable request from a peer");
-            return encoded(StatusCode::BAD_REQUEST, &PeerReply::Unreadable);
+            warn!(%error, "failed to decode a request from a peer");
+            return encode_reply(StatusCode::BAD_REQUEST, &PeerReply::Unreadable);
         }
     };
     let asked = ask(&tx, |tx| Message::Peer(Box::new(request), tx));
     match asked.await {
-        Ok(reply) => encoded(StatusCode::OK, &reply),
-        // The host has stopped: nothing is done with the request.
-        Err(NoAnswer::NotTaken) => encoded(StatusCode::OK, &PeerReply::Declined),
-        Err(NoAnswer::Dropped) => problem::plain(
+        Ok(reply) => encode_reply(StatusCode::OK, &reply),
+        // The core task has ended, so the request has no effect.
+        Err(NoAnswer::NotTaken) => encode_reply(StatusCode::OK, &PeerReply::Declined),
+        Err(NoAnswer::Dropped) => problem::simple(
             StatusCode::SERVICE_UNAVAILABLE,
             "stopping",
             "The host is stopping",
@@ -40,13 +40,13 @@
     }
 }
 
-fn encoded(status: StatusCode, reply: &PeerReply) -> HttpReply {
+fn encode_reply(status: StatusCode, reply: &PeerReply) -> HttpReply {
     match codec::encode(reply) {
         Ok(body) => HttpReply::new(status, PEER_TYPE, body),
         Err(error) => {
-            warn!(%error, "unencodable reply");
+            warn!(%error, "failed to encode a reply to a peer");
             let status = StatusCode::INTERNAL_SERVER_ERROR;
-            problem::plain(status, "unencodable", "The reply can't be encoded")
+            problem::simple(status, "unencodable", "The reply can't be encoded")
         }
     }
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,5 +1,5 @@
-//! Answers as HTTP: results as JSON, everything else as problem details after
-//! RFC 9457.
+//! HTTP replies to callers and operators: results as JSON, failures as problem details
+//! (RFC 9457).
 
 use gannetridge_entry_core::ChangeAnswer;
 use gannetridge_entry_wire::peer::ConfigDoc;
@@ -52,13 +52,13 @@
     }
 }
 
-fn json_of(value: &impl Serialize) -> Option<serde_json::Value> {
+fn to_json_value(value: &impl Serialize) -> Option<serde_json::Value> {
     serde_json::to_value(value).ok()
 }
 
-/// Returns the answer to a submission as HTTP.
+/// Returns the HTTP reply for the answer to a submission.
 #[must_use]
-pub fn answer(answer: &Answer) -> HttpReply {
+pub fn answer_reply(answer: &Answer) -> HttpReply {
     match answer {
         Answer::Complete { .. } => {
             let body = serde_json::to_vec(answer).expect("plain data has a JSON form");
@@ -70,7 +70,7 @@
                 _ => StatusCode::BAD_GATEWAY,
             };
             let mut problem = Problem::new(status, "job-failed", "The job has failed for good");
-            problem.reason = json_of(cause);
+            problem.reason = to_json_value(cause);
             problem.ran = Some(*ran);
             problem.reply()
         }
@@ -80,7 +80,7 @@
         } => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let mut problem = Problem::new(status, "not-run", "The request was not run");
-            problem.reason = json_of(reason);
+            problem.reason = to_json_value(reason);
             problem.ran = Some(RunStatus::NotRun);
             problem.retry_after_ms = Some(*retry_after_ms);
             problem.reply()
@@ -99,7 +99,7 @@
                 _ => StatusCode::UNPROCESSABLE_ENTITY,
             };
             let mut problem = Problem::new(status, "rejected", "The request can't be accepted");
-            problem.reason = json_of(reason);
+            problem.reason = to_json_value(reason);
             problem.reply()
         }
     }
@@ -110,9 +110,9 @@
     version: u64,
 }
 
-/// Returns the answer to an operator's change as HTTP.
+/// Returns the HTTP reply for the answer to an operator's change.
 #[must_use]
-pub fn change(answer: &ChangeAnswer) -> HttpReply {
+pub fn change_reply(answer: &ChangeAnswer) -> HttpReply {
     match answer {
         ChangeAnswer::Accepted { version } => {
             let accepted = Accepted { version: *version };
@@ -143,13 +143,13 @@
     }
 }
 
-/// Returns a plain problem.
+/// Returns a problem with only a kind and a title.
 #[must_use]
-pub fn plain(status: StatusCode, kind: &str, title: &str) -> HttpReply {
+pub fn simple(status: StatusCode, kind: &str, title: &str) -> HttpReply {
     Problem::new(status, kind, title).reply()
 }
 
-/// Returns a problem that names what is wrong with the request.
+/// Returns a problem with status 400 and a reason.
 #[must_use]
 pub fn bad_request(kind: &str, title: &str, reason: &str) -> HttpReply {
     let mut problem = Problem::new(StatusCode::BAD_REQUEST, kind, title);
--- a/crates/entry/src/public_api.rs
+++ b/crates/entry/src/public_api.rs
@@ -1,4 +1,4 @@
-//! What callers, operators and probes ask, as HTTP with JSON.
+//! The HTTP API for callers, operators, health checks and metrics.
 
 use gannetridge_entry_core::Host;
 use gannetridge_entry_wire::Submission;
@@ -8,32 +8,32 @@
 use serde::Serialize;
 use tracing::warn;
 
-use crate::core_task::{Message, Sender};
+use crate::core_task::{Message, MessageSender};
 use crate::metrics::Metrics;
 use crate::{operator_api, problem};
 
-/// Handles one request.
-pub async fn handle(tx: Sender, req: HttpRequest) -> HttpReply {
+/// Routes a request by method and path, and handles it.
+pub async fn handle(tx: MessageSender, req: HttpRequest) -> HttpReply {
     match (&req.method, req.path.as_str()) {
         (&Method::POST, "/v1/submissions") => submit(tx, &req).await,
-        (&Method::GET, "/v1/status") => look(tx, status).await,
+        (&Method::GET, "/v1/status") => inspect(tx, status_reply).await,
         (&Method::GET, "/healthz") => HttpReply::new(StatusCode::OK, "text/plain", "ok\n"),
-        (&Method::GET, "/readyz") => look(tx, ready).await,
-        (&Method::GET, "/metrics") => look(tx, metrics).await,
+        (&Method::GET, "/readyz") => inspect(tx, readiness_reply).await,
+        (&Method::GET, "/metrics") => inspect(tx, metrics_reply).await,
         (_, path) if path.starts_with(operator_api::PREFIX) => operator_api::handle(tx, &req).await,
         (_, "/v1/submissions" | "/v1/status" | "/healthz" | "/readyz" | "/metrics") => {
             let status = StatusCode::METHOD_NOT_ALLOWED;
-            problem::plain(
+            problem::simple(
                 status,
                 "no-such-method",
                 "The path doesn't take this method",
             )
         }
-        _ => problem::plain(StatusCode::NOT_FOUND, "no-such-path", "No such path"),
+        _ => problem::simple(StatusCode::NOT_FOUND, "no-such-path", "No such path"),
     }
 }
 
-async fn submit(tx: Sender, req: &HttpRequest) -> HttpReply {
+async fn submit(tx: MessageSender, req: &HttpRequest) -> HttpReply {
     let submission: Submission = match serde_json::from_slice(&req.body) {
         Ok(submission) => submission,
         Err(error) => {
@@ -43,28 +43,28 @@
     };
     let asked = ask(&tx, |tx| Message::Submit(Box::new(submission), tx));
     match asked.await {
-        Ok(answer) => problem::answer(&answer),
-        Err(_) => stopping(),
+        Ok(answer) => problem::answer_reply(&answer),
+        Err(_) => stopping_reply(),
     }
 }
 
-pub(crate) fn stopping() -> HttpReply {
+pub(crate) fn stopping_reply() -> HttpReply {
     let title = "The host is stopping; ask another";
-    problem::plain(StatusCode::SERVICE_UNAVAILABLE, "stopping", title)
+    problem::simple(StatusCode::SERVICE_UNAVAILABLE, "stopping", title)
 }
 
-/// Answers from what stands at the host.
-pub(crate) async fn look(
-    tx: Sender,
-    make: impl FnOnce(&Host, &Metrics) -> HttpReply + 'static,
+/// Returns a reply that is computed from the host's current state.
+pub(crate) async fn inspect(
+    tx: MessageSender,
+    make_reply: impl FnOnce(&Host, &Metrics) -> HttpReply + 'static,
 ) -> HttpReply {
     let asked = ask(&tx, |reply_tx| {
-        Message::Look(Box::new(move |host, metrics| {
-            // Whoever asked may be gone.
-            let _ = reply_tx.send(make(host, metrics));
+        Message::Inspect(Box::new(move |host, metrics| {
+            // The client may have disconnected.
+            let _ = reply_tx.send(make_reply(host, metrics));
         }))
     });
-    asked.await.unwrap_or_else(|_| stopping())
+    asked.await.unwrap_or_else(|_| stopping_reply())
 }
 
 #[derive(Serialize)]
@@ -82,7 +82,7 @@
     leaving: Vec<gannetridge_wire::Name>,
 }
 
-fn status(host: &Host, _: &Metrics) -> HttpReply {
+fn status_reply(host: &Host, _: &Metrics) -> HttpReply {
     let settings = host.settings();
     let view = StatusView {
         name: &settings.id.name,
@@ -105,18 +105,18 @@
     HttpReply::json(StatusCode::OK, body)
 }
 
-fn ready(host: &Host, _: &Metrics) -> HttpReply {
+fn readiness_reply(host: &Host, _: &Metrics) -> HttpReply {
     if host.is_ready() {
         return HttpReply::new(StatusCode::OK, "text/plain", "ready\n");
     }
     let title = "The host has no configuration or targets yet, or is stopping";
-    problem::plain(StatusCode::SERVICE_UNAVAILABLE, "not-ready", title)
+    problem::simple(StatusCode::SERVICE_UNAVAILABLE, "not-ready", title)
 }
 
-fn metrics(_: &Host, metrics: &Metrics) -> HttpReply {
+fn metrics_reply(_: &Host, metrics: &Metrics) -> HttpReply {
     metrics.reply().unwrap_or_else(|error| {
-        warn!(%error, "unencodable metrics");
+        warn!(%error, "failed to encode the metrics");
         let status = StatusCode::INTERNAL_SERVER_ERROR;
-        problem::plain(status, "metrics", "The metrics can't be encoded")
+        problem::simple(status, "metrics", "The metrics can't be encoded")
     })
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -9,14 +9,14 @@
 use gannetridge_wire::Name;
 use serde::{Deserialize, Serialize};
 
-/// How log lines look.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// How lines look.
+    /// The format of log lines.
     pub format: LogFormat,
-    /// The least level, as `tracing` filters write it.
+    /// The lowest level logged, or any filter in the syntax of `tracing`'s `EnvFilter`.
     pub level: String,
 }
 
@@ -39,21 +39,21 @@
     }
 }
 
-/// Bounds on what the process reads from others.
+/// Limits on incoming requests and connections.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Longest head of a request, in bytes.
+    /// Largest head of a request, in bytes.
     pub head_bytes: usize,
-    /// Longest body of a caller's or operator's request, in bytes.
+    /// Largest body of a caller's or operator's request, in bytes.
     pub body_bytes: usize,
-    /// Longest body of a peer's request, in bytes.
+    /// Largest body of a peer's request, in bytes.
     pub peer_body_bytes: usize,
     /// Longest time without a request on a connection, in ms.
     pub idle_ms: u64,
-    /// Longest time for a body, in ms.
+    /// Longest time to receive a body, in ms.
     pub body_ms: u64,
-    /// Connections from one address at a time.
+    /// Largest number of simultaneous connections from one address.
     pub connections_per_address: usize,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl LimitSettings {
-    /// Returns the bounds for callers and operators.
+    /// Returns the limits of the server for callers and operators.
     #[must_use]
     pub fn for_callers(&self) -> ServerLimits {
         ServerLimits {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns the bounds for peers.
+    /// Returns the limits of the server for peers.
     #[must_use]
     pub fn for_peers(&self) -> ServerLimits {
         ServerLimits {
@@ -99,32 +99,33 @@
 pub struct Settings {
     /// The host's name, unique in the system.
     pub name: Name,
-    /// The host's data hall.
+    /// The data hall that the host belongs to.
     pub hall: Name,
-    /// Where callers and operators reach the host.
+    /// Address to listen on for callers and operators.
     pub listen: SocketAddr,
-    /// Where other entry hosts reach it.
+    /// Address to listen on for peers, which they also use to reach the host.
     pub peer_listen: SocketAddr,
-    /// Where the platform's table and list are.
+    /// Address of the platform's table and list of targets.
     pub platform: SocketAddr,
-    /// Other entry hosts, to ask while the table is out.
+    /// Addresses of other entry hosts, to ask while the table is unavailable.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The log.
+    /// Format and level of the log.
     #[serde(default)]
     pub log: LogSettings,
-    /// Bounds.
+    /// Limits on incoming requests and connections.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Times and limits of the decisions.
+    /// Times and limits of the host's logic.
     #[serde(default)]
     pub tuning: Tuning,
 }
 
 impl Settings {
-    /// Returns what the host's decisions depend on.
+    /// Returns the settings of the host's logic. `now` gives the incarnation and the seed
+    /// of this process.
     #[must_use]
-    pub fn host(&self, now: Time) -> HostSettings {
+    pub fn host_settings(&self, now: Time) -> HostSettings {
         HostSettings {
             id: HostId {
                 name: self.name.clone(),
