--- a/crates/entry-sim/src/attempts.rs
+++ b/crates/entry-sim/src/attempts.rs
@@ -67,7 +67,7 @@
     }
 
     fn send_to_host(&mut self, host: usize, request: RequestId, submission: Submission) {
-        let token = self.hosts[host].token(Requester::Caller(request));
+        let token = self.hosts[host].register_request(Requester::Caller(request));
         let process = self.hosts[host].process_id(host);
         let event = Box::new(Event::Submit { token, submission });
         let delay = self.sample_delay(self.scenario.delays.caller_us);
--- a/crates/entry-sim/src/hosts.rs
+++ b/crates/entry-sim/src/hosts.rs
@@ -108,7 +108,7 @@
     }
 
     /// Registers a request and returns its token.
-    pub fn token(&mut self, requester: Requester) -> Token {
+    pub fn register_request(&mut self, requester: Requester) -> Token {
         self.last_token += 1;
         let token = Token(self.last_token);
         self.requesters.insert(token, requester);
@@ -118,12 +118,12 @@
     /// Converts simulated time to the host's clock.
     #[must_use]
     pub fn clock(&self, now: Time) -> Time {
-        shift(now, self.offset_us)
+        add_offset(now, self.offset_us)
     }
 }
 
 /// Returns `time` on a clock with the given offset.
 #[must_use]
-pub fn shift(time: Time, offset_us: i64) -> Time {
+pub fn add_offset(time: Time, offset_us: i64) -> Time {
     Time(time.0.saturating_add_signed(offset_us))
 }
--- a/crates/entry-sim/src/lifecycle.rs
+++ b/crates/entry-sim/src/lifecycle.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use crate::checks::Violation;
-use crate::hosts::{shift, ProcessId, ProcessState, Requester};
+use crate::hosts::{add_offset, ProcessId, ProcessState, Requester};
 use crate::world::{SimEvent, World};
 
 impl World {
@@ -45,7 +45,7 @@
         let Some(next) = host.core.next_timer() else {
             return;
         };
-        let at = shift(next, -host.offset_us).max(self.now);
+        let at = add_offset(next, -host.offset_us).max(self.now);
         if host.next_tick.is_some_and(|planned| planned <= at) {
             return;
         }
@@ -64,8 +64,8 @@
         }
         host.state = ProcessState::Running;
         let process = host.process_id(index);
-        let held = std::mem::take(&mut host.delayed_actions);
-        self.perform_all(process, held);
+        let delayed = std::mem::take(&mut host.delayed_actions);
+        self.perform_all(process, delayed);
         // Queued events are delivered in order of arrival, 1 µs apart.
         let inbox = std::mem::take(&mut self.hosts[index].inbox);
         for (n, event) in inbox.into_iter().enumerate() {
@@ -139,12 +139,12 @@
             .requesters
             .iter()
             .filter(|(token, _)| host.read_requests.contains(token));
-        let cut_off = waiting
+        let unanswered = waiting
             .filter(|(_, a)| matches!(a, Requester::Caller(_)))
             .count();
-        if cut_off > 0 {
+        if unanswered > 0 {
             let name = &self.hosts[process.host].name;
-            let text = format!("{name}: {cut_off} callers");
+            let text = format!("{name}: {unanswered} callers");
             self.checks
                 .record_violation(Violation::UnansweredAtStop(text));
         }
--- a/crates/entry-sim/src/network.rs
+++ b/crates/entry-sim/src/network.rs
@@ -87,7 +87,7 @@
         self.hosts[call.process.host]
             .open_calls
             .insert(call.call, CallKind::Peer);
-        let to = self.by_address.get(address).copied();
+        let to = self.host_by_address.get(address).copied();
         let Some(to) = to.filter(|to| self.hosts_connected(call.process.host, *to)) else {
             return self.fail_call(call, CallKind::Peer, wait_us);
         };
@@ -136,7 +136,7 @@
             }
             return;
         }
-        let token = self.hosts[to.host].token(Requester::Peer(from));
+        let token = self.hosts[to.host].register_request(Requester::Peer(from));
         self.deliver(to, Event::Peer { token, request });
     }
 
--- a/crates/entry-sim/src/operators.rs
+++ b/crates/entry-sim/src/operators.rs
@@ -19,19 +19,19 @@
             self.schedule(us, SimEvent::ConcurrentChanges);
         }
         // Two operators change the same document, read at the same version.
-        let live: Vec<usize> = self.serving_hosts();
-        if live.is_empty() || self.scenario.accounts.is_empty() {
+        let serving: Vec<usize> = self.serving_hosts();
+        if serving.is_empty() || self.scenario.accounts.is_empty() {
             return;
         }
         let account = self.rng.random_range(0..self.scenario.accounts.len());
         let key = format!("template/t-{}", self.scenario.accounts[account].name);
-        let reader = live[self.rng.random_range(0..live.len())];
+        let reader = serving[self.rng.random_range(0..serving.len())];
         let docs = &self.hosts[reader].core.config().snapshot().docs;
         let Some(doc) = docs.iter().find(|d| *d.key == *key).cloned() else {
             return;
         };
         for _ in 0..2 {
-            let host = live[self.rng.random_range(0..live.len())];
+            let host = serving[self.rng.random_range(0..serving.len())];
             let n = self.changes.len() as u64;
             let id: Name = format!("change-{n}").into();
             self.changes.push(OperatorChange {
@@ -46,7 +46,7 @@
                 read_at: doc.version,
                 text: doc.text.clone(),
             };
-            let token = self.hosts[host].token(Requester::Operator(n));
+            let token = self.hosts[host].register_request(Requester::Operator(n));
             let process = self.hosts[host].process_id(host);
             let event = Box::new(Event::Change { token, change });
             let delay = self.sample_delay(1_000);
--- a/crates/entry-sim/src/perform.rs
+++ b/crates/entry-sim/src/perform.rs
@@ -50,7 +50,7 @@
                 ..
             } => {
                 let from = OutgoingCall { process, call };
-                let runner = self.runner(&target);
+                let runner = self.runner_index(&target);
                 let start = SimEvent::Start {
                     runner,
                     incarnation: self.runners[runner].incarnation,
@@ -66,10 +66,10 @@
                 wait_ms,
             } => {
                 let from = OutgoingCall { process, call };
-                let runner = self.runner(&address);
+                let runner = self.runner_index(&address);
                 self.send_to_runner(from, runner, SimEvent::Ask { runner, from, ask }, wait_ms);
             }
-            Action::Table { call, op } => self.use_table(OutgoingCall { process, call }, op),
+            Action::Table { call, op } => self.call_table(OutgoingCall { process, call }, op),
             Action::ReadList { after } => self.read_list(process, after),
             Action::Note(note) => self.record_note(process, &note),
             Action::Stopped => self.on_stopped(process),
--- a/crates/entry-sim/src/planning.rs
+++ b/crates/entry-sim/src/planning.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 use crate::faults::FaultEvent;
-use crate::hosts::shift;
+use crate::hosts::add_offset;
 use crate::scenario::{PlannedEvent, CALLER_OFFSET_US};
 use crate::world::{SimEvent, World};
 
@@ -61,6 +61,6 @@
         let offset = self
             .load_rng
             .random_range(-CALLER_OFFSET_US..=CALLER_OFFSET_US);
-        shift(self.now, offset).as_millis()
+        add_offset(self.now, offset).as_millis()
     }
 }
--- a/crates/entry-sim/src/setup.rs
+++ b/crates/entry-sim/src/setup.rs
@@ -9,7 +9,7 @@
 use gannetridge_wire::Name;
 use rand::Rng;
 
-use crate::hosts::{shift, ProcessState, SimHost};
+use crate::hosts::{add_offset, ProcessState, SimHost};
 use crate::runners::SimRunner;
 use crate::scenario::CLOCK_OFFSET_US;
 use crate::world::{SimEvent, World, LIST_REFRESH_US};
@@ -22,7 +22,7 @@
             for n in 0..sizes.runners {
                 let name: Name = format!("runner-{}-{}", hall + 1, n + 1).into();
                 let offset_us = self.sample_clock_offset_us();
-                self.by_runner.insert(name.clone(), self.runners.len());
+                self.runner_by_name.insert(name.clone(), self.runners.len());
                 let runner = SimRunner::new(name, hall, sizes.slots, offset_us);
                 self.runners.push(runner);
             }
@@ -50,7 +50,8 @@
     pub(crate) fn add_host(&mut self, name: Name, address: Name, hall: usize) {
         let offset_us = self.sample_clock_offset_us();
         let core = self.new_core(&name, &address, hall, offset_us);
-        self.by_address.insert(address.clone(), self.hosts.len());
+        self.host_by_address
+            .insert(address.clone(), self.hosts.len());
         self.hosts.push(SimHost {
             name,
             hall,
@@ -79,7 +80,7 @@
         hall: usize,
         offset_us: i64,
     ) -> Host {
-        let now = shift(self.now, offset_us);
+        let now = add_offset(self.now, offset_us);
         let peers = self.hosts.iter().map(|h| h.address.clone()).collect();
         let settings = HostSettings {
             id: HostId {
--- a/crates/entry-sim/src/starts.rs
+++ b/crates/entry-sim/src/starts.rs
@@ -7,13 +7,13 @@
 use gannetridge_entry_wire::{TaskId, Time};
 
 use crate::checks::Violation;
-use crate::hosts::{shift, CallKind, OutgoingCall, ProcessId};
+use crate::hosts::{add_offset, CallKind, OutgoingCall, ProcessId};
 use crate::world::{SimEvent, World};
 
 impl World {
-    pub(crate) fn runner(&self, name_or_address: &str) -> usize {
+    pub(crate) fn runner_index(&self, name_or_address: &str) -> usize {
         // A simulated runner's address is its name.
-        self.by_runner[name_or_address]
+        self.runner_by_name[name_or_address]
     }
 
     pub(crate) fn send_to_runner(
@@ -89,7 +89,7 @@
             };
             return self.schedule(us, ev);
         }
-        let clock = shift(self.now, sim_runner.offset_us);
+        let clock = add_offset(self.now, sim_runner.offset_us);
         if let Err(report) = sim_runner.tasks.start(&start, clock) {
             return self.send_task_report(runner, from, report);
         }
@@ -174,14 +174,14 @@
     /// Checks that a leaving target gets no new task once the hosts have had a few seconds
     /// without interfering faults to receive the update.
     pub(crate) fn check_leaving(&mut self, runner: usize) {
-        const FEW_SECONDS_MS: u64 = 6_000;
+        const UPDATE_GRACE_MS: u64 = 6_000;
         let sim_runner = &self.runners[runner];
         let Some(since) = sim_runner.leaving_since else {
             return;
         };
         let must_know_by = since
             .max(self.undisturbed_since)
-            .plus_millis(FEW_SECONDS_MS);
+            .plus_millis(UPDATE_GRACE_MS);
         if self.now > must_know_by {
             let text = format!(
                 "{} at {:?}, leaving since {since:?}",
@@ -274,7 +274,7 @@
     pub(crate) fn restart_runner(&mut self, runner: usize) {
         let sim_runner = &mut self.runners[runner];
         if !sim_runner.alive {
-            let clock = shift(self.now, sim_runner.offset_us);
+            let clock = add_offset(self.now, sim_runner.offset_us);
             sim_runner.tasks.restart(clock);
             sim_runner.alive = true;
         }
--- a/crates/entry-sim/src/tables.rs
+++ b/crates/entry-sim/src/tables.rs
@@ -38,7 +38,7 @@
         TableOutcome::Answered
     }
 
-    pub(crate) fn use_table(&mut self, call: OutgoingCall, op: TableOp) {
+    pub(crate) fn call_table(&mut self, call: OutgoingCall, op: TableOp) {
         self.hosts[call.process.host]
             .open_calls
             .insert(call.call, CallKind::Table);
@@ -113,7 +113,7 @@
 
     pub(crate) fn serving_hosts(&self) -> Vec<usize> {
         let hosts = self.hosts.iter().enumerate();
-        let live = hosts.filter(|(_, h)| h.state != ProcessState::Stopped && !h.stopping);
-        live.map(|(index, _)| index).collect()
+        let serving = hosts.filter(|(_, h)| h.state != ProcessState::Stopped && !h.stopping);
+        serving.map(|(index, _)| index).collect()
     }
 }
