--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -75,7 +75,7 @@
 
     /// Returns how long the host was suspended since the clock was started.
     #[must_use]
-    pub fn suspended(&self) -> Duration {
+    pub fn suspended_time(&self) -> Duration {
         self.ahead_now().saturating_sub(self.ahead)
     }
 
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -40,7 +40,7 @@
 fn the_time_begins_with_the_process() {
     let (_, clock) = System::clock();
     assert_eq!(clock.now(), Duration::ZERO);
-    assert_eq!(clock.suspended(), Duration::ZERO);
+    assert_eq!(clock.suspended_time(), Duration::ZERO);
 }
 
 #[test]
@@ -49,7 +49,7 @@
     system.run();
     system.suspend();
     assert_eq!(clock.now(), STEP + GAP);
-    assert_eq!(clock.suspended(), GAP);
+    assert_eq!(clock.suspended_time(), GAP);
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let (system, clock) = System::clock();
     system.run();
     assert_eq!(clock.now(), STEP);
-    assert_eq!(clock.suspended(), Duration::ZERO);
+    assert_eq!(clock.suspended_time(), Duration::ZERO);
 }
 
 #[test]
--- a/crates/dispatcher/src/core_task.rs
+++ b/crates/dispatcher/src/core_task.rs
@@ -272,7 +272,7 @@
     /// Logs a suspension of the whole host, if there was one. Without this line, a stalled
     /// process was frozen alone or had no processor time.
     fn log_suspension(&mut self) {
-        let total = self.parts.clock.suspended();
+        let total = self.parts.clock.suspended_time();
         let gap = total.saturating_sub(self.logged_suspension);
         if gap >= MIN_LOGGED_SUSPENSION {
             self.logged_suspension = total;
--- a/crates/dispatcher/src/metrics.rs
+++ b/crates/dispatcher/src/metrics.rs
@@ -69,7 +69,7 @@
     ///
     /// Fails if the exporter can't be registered.
     pub fn new() -> anyhow::Result<Self> {
-        let registry = MetricsRegistry::new(TargetInfo::LeftOut)?;
+        let registry = MetricsRegistry::new(TargetInfo::Omitted)?;
         let meter = registry.meter();
         let counter = |name: &'static str, help: &'static str| {
             meter.u64_counter(name).with_description(help).build()
--- a/crates/dispatcher/src/peer_api.rs
+++ b/crates/dispatcher/src/peer_api.rs
@@ -86,8 +86,8 @@
 #[must_use]
 pub fn send_failure(error: &CallError) -> SendFailure {
     match error {
-        CallError::NotSent(cause) if cause.is_refused() => SendFailure::Refused,
+        CallError::NotSent(cause) if cause.is_connection_refused() => SendFailure::Refused,
         CallError::NotSent(_) => SendFailure::NotSent,
-        CallError::Unknown(_) => SendFailure::Unknown,
+        CallError::OutcomeUnknown(_) => SendFailure::Unknown,
     }
 }
--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -127,7 +127,7 @@
 pub fn client_limits(link: &LinkSettings) -> ClientLimits {
     let bytes_per_s = link.bytes_per_s() as f64 * LONG_BODY_SHARE;
     ClientLimits {
-        connect: CONNECT_TIMEOUT,
+        connect_timeout: CONNECT_TIMEOUT,
         body_rate: Some(BodyRate {
             bytes_per_s: bytes_per_s as u64,
         }),
--- a/crates/entry-call/src/send.rs
+++ b/crates/entry-call/src/send.rs
@@ -149,7 +149,7 @@
         let reply = match call.await {
             Ok(reply) => reply,
             Err(CallError::NotSent(_)) => return Ok(Outcome::NotSent),
-            Err(CallError::Unknown(_)) => return Ok(Outcome::Resend(0)),
+            Err(CallError::OutcomeUnknown(_)) => return Ok(Outcome::Resend(0)),
         };
         let body = String::from_utf8_lossy(&reply.body).into_owned();
         let problem: Option<ProblemView> = serde_json::from_str(&body).ok();
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -36,7 +36,7 @@
 fn send_failure(error: &CallError) -> SendFailure {
     match error {
         CallError::NotSent(_) => SendFailure::NotSent,
-        CallError::Unknown(_) => SendFailure::Unknown,
+        CallError::OutcomeUnknown(_) => SendFailure::Unknown,
     }
 }
 
@@ -173,7 +173,7 @@
         );
         let reply = sent.await.map_err(|error| match error {
             CallError::NotSent(_) => TableFailure::NotDone,
-            CallError::Unknown(_) => TableFailure::Unclear,
+            CallError::OutcomeUnknown(_) => TableFailure::Unclear,
         })?;
         if reply.status != StatusCode::OK {
             return Err(TableFailure::Unclear);
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -36,7 +36,7 @@
     ///
     /// Returns an error if the registry can't be set up.
     pub fn new() -> anyhow::Result<Self> {
-        let registry = MetricsRegistry::new(TargetInfo::Shown)?;
+        let registry = MetricsRegistry::new(TargetInfo::Included)?;
         let meter = registry.meter();
         let ratio = meter
             .f64_histogram("response_over_ideal")
--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -2,7 +2,7 @@
 
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_net::{HttpReply, HttpRequest};
-use gannetridge_process::mailbox::{ask, NoAnswer};
+use gannetridge_process::mailbox::{ask, MailboxError};
 use gannetridge_wire::codec;
 use http::{Method, StatusCode};
 use tracing::warn;
@@ -31,8 +31,8 @@
     match asked.await {
         Ok(reply) => encode_reply(StatusCode::OK, &reply),
         // The core task has ended, so the request has no effect.
-        Err(NoAnswer::NotTaken) => encode_reply(StatusCode::OK, &PeerReply::Declined),
-        Err(NoAnswer::Dropped) => problem::simple(
+        Err(MailboxError::NotAccepted) => encode_reply(StatusCode::OK, &PeerReply::Declined),
+        Err(MailboxError::Dropped) => problem::simple(
             StatusCode::SERVICE_UNAVAILABLE,
             "stopping",
             "The host is stopping",
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -77,9 +77,9 @@
         ServerLimits {
             head_bytes: self.head_bytes,
             body_bytes: self.body_bytes,
-            idle: Duration::from_millis(self.idle_ms),
-            body_time: Duration::from_millis(self.body_ms),
-            connections_per_peer: self.connections_per_address,
+            idle_timeout: Duration::from_millis(self.idle_ms),
+            body_timeout: Duration::from_millis(self.body_ms),
+            connections_per_address: self.connections_per_address,
         }
     }
 
--- a/crates/host-log/src/lib.rs
+++ b/crates/host-log/src/lib.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Line {
     /// In ms; of the host's clock, or as the line's own prefix says.
-    pub at: i64,
+    pub time_ms: i64,
     /// The host's name.
     pub host: String,
     /// The fields.
@@ -78,12 +78,16 @@
         }
         let prefixed = prefix(&line[..start]);
         let timestamp = fields.get("timestamp").and_then(Value::as_str);
-        let (at, host) = match (prefixed, timestamp.and_then(millis)) {
+        let (time_ms, host) = match (prefixed, timestamp.and_then(millis)) {
             (Some(prefixed), _) => prefixed,
-            (None, Some(at)) => (at, host.clone()),
+            (None, Some(time_ms)) => (time_ms, host.clone()),
             (None, None) => continue,
         };
-        lines.push(Line { at, host, fields });
+        lines.push(Line {
+            time_ms,
+            host,
+            fields,
+        });
     }
     lines
 }
--- a/crates/lab/src/account/jobs.rs
+++ b/crates/lab/src/account/jobs.rs
@@ -130,7 +130,7 @@
             host: line.host.clone(),
             queue: line.text("queue").to_owned(),
             hall: hall.unwrap_or_default(),
-            accepted: line.at,
+            accepted: line.time_ms,
             tasks: integer_field(line, "tasks") as usize,
             objective_ms: line.number("aim_ms").unwrap_or(0.0),
             critical_path_ms: line.number("chain_ms").unwrap_or(0.0),
@@ -156,7 +156,7 @@
             target: line.text("target").to_owned(),
             holder: line.host.clone(),
             holder_hall: holder_hall.unwrap_or_default(),
-            started: line.at,
+            started: line.time_ms,
             end: None,
         });
     }
--- a/crates/lab/src/account/plot.rs
+++ b/crates/lab/src/account/plot.rs
@@ -72,7 +72,7 @@
     let mut disruptions = BTreeMap::new();
     for line in lines.iter().filter(|line| is_disruption(line)) {
         *disruptions
-            .entry(line.at.div_euclid(window_ms))
+            .entry(line.time_ms.div_euclid(window_ms))
             .or_default() += 1;
     }
     disruptions
--- a/crates/lab/src/cmd/account.rs
+++ b/crates/lab/src/cmd/account.rs
@@ -47,7 +47,7 @@
     for path in &options.files {
         lines.extend(gannetridge_host_log::read(path)?);
     }
-    lines.sort_by_key(|line| line.at);
+    lines.sort_by_key(|line| line.time_ms);
     let jobs = jobs::collect(&lines);
     let capacity = capacity::windows(&jobs, options.window_ms);
     let tally = Tally::new(&jobs, &capacity, options.window_ms, options.trip_ms);
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -36,7 +36,7 @@
 impl ReadError {
     /// Returns whether nothing came, or nothing was acknowledged, in time.
     #[must_use]
-    pub fn is_time_out(&self) -> bool {
+    pub fn is_timeout(&self) -> bool {
         match self {
             Self::TimedOut => true,
             Self::Io(error) => error.kind() == std::io::ErrorKind::TimedOut,
@@ -46,7 +46,7 @@
 
     /// Returns whether nothing listens at the address.
     #[must_use]
-    pub fn is_refused(&self) -> bool {
+    pub fn is_connection_refused(&self) -> bool {
         matches!(self, Self::Io(error) if error.kind() == std::io::ErrorKind::ConnectionRefused)
     }
 }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Longest time to set up a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Longest head of a reply, in bytes.
     pub head_bytes: usize,
     /// Longest body of a reply, in bytes.
@@ -59,7 +59,7 @@
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(500),
+            connect_timeout: Duration::from_millis(500),
             head_bytes: 16 * 1024,
             body_bytes: 16 * 1024 * 1024,
             idle_per_address: 32,
@@ -77,7 +77,7 @@
     NotSent(#[source] ReadError),
     /// The request was written, whole or in part.
     #[error("request sent, no reply: {0}")]
-    Unknown(#[source] ReadError),
+    OutcomeUnknown(#[source] ReadError),
 }
 
 /// A reply read whole.
@@ -168,10 +168,10 @@
         let mut call = self.begin(addr).await?;
         match exchange(&mut call.connection, req, self.limits, wait).await {
             Err(error) => {
-                if error.is_time_out() {
+                if error.is_timeout() {
                     call.open.timed_out();
                 }
-                Err(CallError::Unknown(error))
+                Err(CallError::OutcomeUnknown(error))
             }
             Ok(reply) => {
                 call.open.replied(Instant::now(), call.connection);
@@ -196,7 +196,7 @@
 
     async fn connect(&self, addr: SocketAddr) -> Result<Connection, CallError> {
         let connecting = TcpStream::connect_addr(addr);
-        let stream = match timeout(self.limits.connect, connecting).await {
+        let stream = match timeout(self.limits.connect_timeout, connecting).await {
             Err(_) => return Err(CallError::NotSent(ReadError::TimedOut)),
             Ok(Err(error)) => return Err(CallError::NotSent(error.into())),
             Ok(Ok(stream)) => stream,
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -31,11 +31,11 @@
     /// Longest body, in bytes.
     pub body_bytes: usize,
     /// Longest time from a connection's last reply to the next request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Longest time for a body once its head has come.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Connections from one address at a time.
-    pub connections_per_peer: usize,
+    pub connections_per_address: usize,
 }
 
 // All chosen, not measured: far above what callers and peers send, low enough that one
@@ -45,9 +45,9 @@
         Self {
             head_bytes: 16 * 1024,
             body_bytes: 16 * 1024 * 1024,
-            idle: Duration::from_secs(60),
-            body_time: Duration::from_secs(10),
-            connections_per_peer: 4_096,
+            idle_timeout: Duration::from_secs(60),
+            body_timeout: Duration::from_secs(10),
+            connections_per_address: 4_096,
         }
     }
 }
@@ -91,7 +91,7 @@
             monoio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let Some(counted) = admit(&per_peer, peer.ip(), limits.connections_per_peer) else {
+        let Some(counted) = admit(&per_peer, peer.ip(), limits.connections_per_address) else {
             debug!(%peer, "connection refused: too many from this address");
             continue;
         };
@@ -189,7 +189,7 @@
     limits: &ServerLimits,
 ) -> Result<Option<HttpRequest>, ReadError> {
     use monoio::io::stream::Stream;
-    let head = match timeout(limits.idle, reader.next()).await {
+    let head = match timeout(limits.idle_timeout, reader.next()).await {
         Err(_) => return Err(ReadError::TimedOut),
         Ok(None) => return Ok(None),
         Ok(Some(head)) => head?,
@@ -199,7 +199,7 @@
         bytes::Bytes::new()
     } else {
         let mut exact = ExactBody(length);
-        match timeout(limits.body_time, reader.next_with(&mut exact)).await {
+        match timeout(limits.body_timeout, reader.next_with(&mut exact)).await {
             Err(_) => return Err(ReadError::TimedOut),
             Ok(None) => return Err(ReadError::Ended),
             Ok(Some(body)) => body?,
--- a/crates/net/tests/bounds.rs
+++ b/crates/net/tests/bounds.rs
@@ -19,9 +19,9 @@
             let limits = ServerLimits {
                 head_bytes: 512,
                 body_bytes: 64,
-                idle: Duration::from_millis(300),
-                body_time: Duration::from_millis(300),
-                connections_per_peer: 8,
+                idle_timeout: Duration::from_millis(300),
+                body_timeout: Duration::from_millis(300),
+                connections_per_address: 8,
             };
             serve(listener, limits, |req| async move {
                 HttpReply::new(StatusCode::OK, "text/plain", req.body)
--- a/crates/net/tests/long_replies.rs
+++ b/crates/net/tests/long_replies.rs
@@ -64,7 +64,10 @@
 #[test]
 fn a_reply_that_falls_silent_midway_is_given_up() {
     let reply = call(serve(PARTS / 2), ClientLimits::default());
-    assert!(matches!(reply, Err(CallError::Unknown(_))), "{reply:?}");
+    assert!(
+        matches!(reply, Err(CallError::OutcomeUnknown(_))),
+        "{reply:?}"
+    );
 }
 
 /// Sends a long body as fast as it is taken.
--- a/crates/process/src/mailbox.rs
+++ b/crates/process/src/mailbox.rs
@@ -9,10 +9,10 @@
 
 /// Why a question has no answer.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum NoAnswer {
+pub enum MailboxError {
     /// The owning task had ended before: the question was not taken.
     #[error("the owning task has ended")]
-    NotTaken,
+    NotAccepted,
     /// The owning task took the question and dropped it.
     #[error("the question was dropped")]
     Dropped,
@@ -26,9 +26,9 @@
 pub async fn ask<M, A>(
     tx: &unbounded::Tx<M>,
     message: impl FnOnce(oneshot::Sender<A>) -> M,
-) -> Result<A, NoAnswer> {
+) -> Result<A, MailboxError> {
     let (answer_tx, answer_rx) = oneshot::channel();
     tx.send(message(answer_tx))
-        .map_err(|_| NoAnswer::NotTaken)?;
-    answer_rx.await.map_err(|_| NoAnswer::Dropped)
+        .map_err(|_| MailboxError::NotAccepted)?;
+    answer_rx.await.map_err(|_| MailboxError::Dropped)
 }
--- a/crates/process/src/metrics.rs
+++ b/crates/process/src/metrics.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetInfo {
     /// It has.
-    Shown,
+    Included,
     /// It hasn't.
-    LeftOut,
+    Omitted,
 }
 
 /// Keeps a program's metrics.
@@ -37,8 +37,8 @@
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone());
         let exporter = match target_info {
-            TargetInfo::Shown => exporter,
-            TargetInfo::LeftOut => exporter.without_target_info(),
+            TargetInfo::Included => exporter,
+            TargetInfo::Omitted => exporter.without_target_info(),
         };
         let provider = SdkMeterProvider::builder()
             .with_reader(exporter.build()?)
--- a/src/api.rs
+++ b/src/api.rs
@@ -161,7 +161,7 @@
             let reply = match call.await {
                 Ok(reply) => reply,
                 Err(gannetridge_net::CallError::NotSent(_)) => continue,
-                Err(gannetridge_net::CallError::Unknown(_)) => {
+                Err(gannetridge_net::CallError::OutcomeUnknown(_)) => {
                     unresolved = true;
                     continue;
                 }
--- a/src/cmd/story.rs
+++ b/src/cmd/story.rs
@@ -48,12 +48,12 @@
     for path in &options.files {
         lines.extend(gannetridge_host_log::read(path)?);
     }
-    lines.sort_by_key(|line| line.at);
+    lines.sort_by_key(|line| line.time_ms);
     let about: Vec<&Line> = lines.iter().filter(|line| is_about(line, id)).collect();
     let (Some(first), Some(last)) = (about.first(), about.last()) else {
         bail!("no line about {id} among {} lines", lines.len());
     };
-    let span = first.at - AROUND_MS..=last.at + AROUND_MS;
+    let span = first.time_ms - AROUND_MS..=last.time_ms + AROUND_MS;
     let hosts: BTreeSet<&str> = about.iter().map(|line| line.host.as_str()).collect();
     let targets: BTreeSet<&str> = about.iter().map(|line| line.text("target")).collect();
     for line in &lines {
@@ -61,9 +61,9 @@
         let beside = of_host && hosts.contains(line.host.as_str())
             || line.event() == "target" && targets.contains(line.text("target"));
         if is_about(line, id) {
-            println!("{}", show(line, first.at, ' '));
-        } else if beside && span.contains(&line.at) {
-            println!("{}", show(line, first.at, '|'));
+            println!("{}", show(line, first.time_ms, ' '));
+        } else if beside && span.contains(&line.time_ms) {
+            println!("{}", show(line, first.time_ms, '|'));
         }
     }
     for gap in clock_gaps(&about) {
@@ -78,7 +78,7 @@
     let fields: Vec<String> = fields
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    let (at, host, event) = (line.at - since, &line.host, line.event());
+    let (at, host, event) = (line.time_ms - since, &line.host, line.event());
     format!("{mark} {at:>7} ms  {host}  {event}  {}", fields.join(" "))
 }
 
@@ -91,13 +91,17 @@
     for line in about {
         if let (Some(taken), "started") = (taken, line.event()) {
             let gap = behind.entry(&line.host).or_default();
-            *gap = (*gap).max(taken.at - line.at);
+            *gap = (*gap).max(taken.time_ms - line.time_ms);
         }
         let done = line.event() == "run-ended" && line.text("end") == "done";
         if let (Some(ended), true) = (ended, done) {
             let completed = ended.text("cause") == "done";
             let gap = ahead.entry(&line.host).or_default();
-            *gap = (*gap).max(if completed { line.at - ended.at } else { 0 });
+            *gap = (*gap).max(if completed {
+                line.time_ms - ended.time_ms
+            } else {
+                0
+            });
         }
     }
     let tell = |(host, gap): (&str, i64), side: &str| {
