--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,4 +1,4 @@
-//! Decoders that bound heads and bodies.
+//! Decoders that limit the size of heads and bodies.
 
 use bytes::{Bytes, BytesMut};
 use http::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -7,34 +7,36 @@
 use monoio_http::h1::codec::decoder::DecodeError;
 use thiserror::Error;
 
-/// Why a message can't be read.
+/// The reason why a message can't be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
     /// The head is longer than the limit.
-    #[error("head over {0} bytes")]
+    #[error("head exceeds {0} bytes")]
     HeadTooLong(usize),
     /// The body is longer than the limit.
-    #[error("body over {0} bytes")]
+    #[error("body exceeds {0} bytes")]
     BodyTooLong(usize),
-    /// The body's length isn't given once, as a plain number.
-    #[error("the body's length must be given once, as a plain number")]
-    Length,
+    /// The body's length isn't given exactly once as a decimal number, or the message has a
+    /// transfer encoding.
+    #[error("body length must be given once, as a decimal number")]
+    InvalidLength,
     /// The head is malformed.
     #[error("malformed head")]
-    Head(#[from] DecodeError),
-    /// The connection broke.
-    #[error("connection broke")]
+    MalformedHead(#[from] DecodeError),
+    /// Reading from or writing to the connection failed.
+    #[error("connection failed")]
     Io(#[from] std::io::Error),
-    /// The message didn't come in time.
-    #[error("message took over the time limit")]
+    /// The message wasn't received in time.
+    #[error("message not received in time")]
     TimedOut,
-    /// The connection ended within a message.
-    #[error("connection ended within a message")]
-    Ended,
+    /// The connection was closed before the message was complete.
+    #[error("connection closed within a message")]
+    ConnectionClosed,
 }
 
 impl ReadError {
-    /// Returns whether nothing came, or nothing was acknowledged, in time.
+    /// Returns true if the message wasn't received in time, or the operating system
+    /// reported a timeout of the connection.
     #[must_use]
     pub fn is_timeout(&self) -> bool {
         match self {
@@ -44,21 +46,21 @@
         }
     }
 
-    /// Returns whether nothing listens at the address.
+    /// Returns true if nothing listens at the address.
     #[must_use]
     pub fn is_connection_refused(&self) -> bool {
         matches!(self, Self::Io(error) if error.kind() == std::io::ErrorKind::ConnectionRefused)
     }
 }
 
-/// Wraps the codec's head decoder with a limit.
+/// A head decoder that fails on heads over a limit.
 pub struct BoundedHead<D> {
     inner: D,
     limit: usize,
 }
 
 impl<D> BoundedHead<D> {
-    /// Wraps a decoder; heads over `limit` bytes are refused.
+    /// Wraps a decoder; heads over `limit` bytes are an error.
     pub fn new(inner: D, limit: usize) -> Self {
         Self { inner, limit }
     }
@@ -71,16 +73,16 @@
     fn decode(&mut self, src: &mut BytesMut) -> Result<Decoded<Self::Item>, Self::Error> {
         let before = src.len();
         let decoded = self.inner.decode(src)?;
-        let used = before - src.len();
-        let waiting = matches!(decoded, Decoded::Insufficient) && before > self.limit;
-        if waiting || used > self.limit {
+        let consumed = before - src.len();
+        let incomplete = matches!(decoded, Decoded::Insufficient) && before > self.limit;
+        if incomplete || consumed > self.limit {
             return Err(ReadError::HeadTooLong(self.limit));
         }
         Ok(decoded)
     }
 }
 
-/// Takes a body of a known length.
+/// Decodes a body of a known length in bytes, once all of it was received.
 pub struct ExactBody(pub usize);
 
 impl Decoder for ExactBody {
@@ -95,10 +97,10 @@
     }
 }
 
-/// Takes what has come of a body, up to the bytes that are still missing of it.
-pub struct PartOfBody(pub usize);
+/// Decodes the part of a body that was received, at most the given number of bytes.
+pub struct BodyPart(pub usize);
 
-impl Decoder for PartOfBody {
+impl Decoder for BodyPart {
     type Item = BytesMut;
     type Error = ReadError;
 
@@ -111,29 +113,29 @@
     }
 }
 
-/// Reads the length of the body from the head.
+/// Returns the length of the body in bytes, zero if the headers name none.
 ///
 /// # Errors
 ///
 /// Fails on a transfer encoding, on repeated or malformed lengths, and on a
-/// length over the limit.
+/// length over `limit`.
 pub fn body_length(headers: &HeaderMap, limit: usize) -> Result<usize, ReadError> {
     if headers.contains_key(TRANSFER_ENCODING) {
-        return Err(ReadError::Length);
+        return Err(ReadError::InvalidLength);
     }
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let Some(length) = lengths.next() else {
         return Ok(0);
     };
     if lengths.next().is_some() {
-        return Err(ReadError::Length);
+        return Err(ReadError::InvalidLength);
     }
     let digits = length.as_bytes();
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-        return Err(ReadError::Length);
+        return Err(ReadError::InvalidLength);
     }
-    let text = length.to_str().map_err(|_| ReadError::Length)?;
-    let length = text.parse().map_err(|_| ReadError::Length)?;
+    let text = length.to_str().map_err(|_| ReadError::InvalidLength)?;
+    let length = text.parse().map_err(|_| ReadError::InvalidLength)?;
     if length > limit {
         return Err(ReadError::BodyTooLong(limit));
     }
--- a/crates/net/src/body_rate.rs
+++ b/crates/net/src/body_rate.rs
@@ -1,24 +1,24 @@
-//! How fast long bodies are read.
+//! Limits the rate at which long bodies are read.
 
 use std::time::Duration;
 
-/// How fast long bodies are read: what comes slower than the link could bring it leaves
-/// room on the link for short messages, since the sender waits once the receiver's window
-/// is full.
+/// The highest rate at which long bodies are read. A rate below the link's leaves capacity
+/// for short messages: the sender pauses once the receive window is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyRate {
-    /// Bytes a second.
+    /// In bytes per second; zero counts as one.
     pub bytes_per_s: u64,
 }
 
-/// The first bytes of a body, that are read as they come: most replies are shorter.
-const FREE_BYTES: usize = 32 * 1024;
+/// The first bytes of a body, which are read without a limit: most replies are shorter.
+const UNLIMITED_BYTES: usize = 32 * 1024;
 
 impl BodyRate {
-    /// Returns how long to wait after a part of a body, given what came before it.
+    /// Returns the pause after reading `part` bytes of a body of which `before` bytes were read
+    /// earlier, if there is one.
     pub(crate) fn pause_after(self, before: usize, part: usize) -> Option<Duration> {
-        let counted = (before + part).saturating_sub(before.max(FREE_BYTES));
-        let micros = counted as u64 * 1_000_000 / self.bytes_per_s.max(1);
+        let limited = (before + part).saturating_sub(before.max(UNLIMITED_BYTES));
+        let micros = limited as u64 * 1_000_000 / self.bytes_per_s.max(1);
         (micros > 0).then(|| Duration::from_micros(micros))
     }
 }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,5 +1,5 @@
-//! An HTTP client with a pool of connections for each address: `pool.rs` tells which of
-//! them are used again.
+//! An HTTP client with a pool of connections for each address. The `pool` module decides
+//! which idle connections are reused.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -24,38 +24,36 @@
 use thiserror::Error;
 use tracing::debug;
 
-use crate::body::{body_length, BoundedHead, PartOfBody, ReadError};
+use crate::body::{body_length, BodyPart, BoundedHead, ReadError};
 use crate::body_rate::BodyRate;
-use crate::pool::{OpenCall, Pool};
+use crate::pool::{PendingCall, Pool};
 
-/// A connection on which nothing comes is probed after this, and again after as long;
-/// it ends when neither is acknowledged. The least that the kernel takes. It guards reads
-/// that wait for a change: on a connection that fell silent they end after 2 s, before
-/// the store's answer is overdue after 3 s.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
-/// Probes that may stay without an acknowledgement.
-const KEEP_ALIVE_PROBES: u32 = 1;
+/// Idle time before a TCP keepalive probe is sent, and the time in which it has to be
+/// acknowledged. One second is the kernel's minimum. It bounds long polls, which wait for a
+/// reply without an end: on a silent connection they fail after 2 s.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unacknowledged probes after which the connection is closed.
+const KEEPALIVE_PROBES: u32 = 1;
 
-/// Bounds on what a client keeps and waits for.
+/// Limits of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Longest time to set up a connection.
     pub connect_timeout: Duration,
-    /// Longest head of a reply, in bytes.
+    /// Longest accepted head of a reply, in bytes.
     pub head_bytes: usize,
-    /// Longest body of a reply, in bytes.
+    /// Longest accepted body of a reply, in bytes.
     pub body_bytes: usize,
     /// Idle connections kept for each address.
     pub idle_per_address: usize,
-    /// Once a call has waited for its reply for this long, later calls to its address
-    /// open connections of their own instead of using idle ones that may be dead too.
-    /// None where replies may take long.
+    /// Once a call on a reused connection has waited for its reply for this long, later
+    /// calls to its address don't use idle connections that may be dead too. `None` where
+    /// replies may take long.
     pub suspect_after: Option<Duration>,
-    /// How fast long bodies are read; as fast as they come without one.
+    /// The highest rate at which long bodies are read; unlimited if `None`.
     pub body_rate: Option<BodyRate>,
 }
 
-// All chosen, not measured.
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
@@ -69,33 +67,33 @@
     }
 }
 
-/// Why a call has no reply.
+/// The reason why a call has no reply.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No byte of the request was written.
+    /// No byte of the request was written, so the server can't have processed it.
     #[error("request not sent: {0}")]
     NotSent(#[source] ReadError),
-    /// The request was written, whole or in part.
+    /// The request was written in whole or in part: the server may have processed it.
     #[error("request sent, no reply: {0}")]
     OutcomeUnknown(#[source] ReadError),
 }
 
-/// A reply read whole.
+/// A complete reply.
 #[derive(Debug)]
 pub struct ClientReply {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The body.
+    /// The body, empty if the reply has none.
     pub body: Bytes,
 }
 
-/// An open connection.
+/// An open connection to a server.
 struct Connection {
     reader: FramedRead<TcpOwnedReadHalf, BoundedHead<ResponseHeadDecoder>>,
     writer: GenericEncoder<TcpOwnedWriteHalf>,
 }
 
-/// Calls HTTP servers and keeps their connections. Clones share the pool.
+/// Calls HTTP servers and reuses connections. Clones share the pool.
 #[derive(Clone)]
 pub struct Client {
     limits: ClientLimits,
@@ -109,7 +107,7 @@
 }
 
 impl Client {
-    /// Creates a client.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(limits: ClientLimits) -> Self {
         Self {
@@ -118,8 +116,8 @@
         }
     }
 
-    /// Sends a request and waits for the reply, `wait` at most for its head, and as long
-    /// for each further part of its body.
+    /// Sends a request and returns the reply. `wait` bounds the time until the reply's head
+    /// is received, and from then on until each further part of its body is.
     ///
     /// # Errors
     ///
@@ -139,8 +137,8 @@
         self.exchange(addr, req, wait).await
     }
 
-    /// Sends a request with headers of its own and waits for the reply as [`Client::call`]
-    /// does.
+    /// Sends a request with the given headers and returns the reply. The time limits are
+    /// those of [`Client::call`].
     ///
     /// # Errors
     ///
@@ -165,33 +163,39 @@
         req: Request<Payload>,
         wait: Duration,
     ) -> Result<ClientReply, CallError> {
-        let mut call = self.begin(addr).await?;
+        let mut call = self.start_call(addr).await?;
         match exchange(&mut call.connection, req, self.limits, wait).await {
             Err(error) => {
                 if error.is_timeout() {
-                    call.open.timed_out();
+                    call.pending.record_timeout();
                 }
                 Err(CallError::OutcomeUnknown(error))
             }
             Ok(reply) => {
-                call.open.replied(Instant::now(), call.connection);
+                call.pending.record_reply(Instant::now(), call.connection);
                 Ok(reply)
             }
         }
     }
 
-    /// Takes a connection for a call, an idle one if one is left that is trusted.
-    async fn begin(&self, addr: SocketAddr) -> Result<Call, CallError> {
+    /// Starts a call on an idle connection that isn't suspect, else on a new one.
+    async fn start_call(&self, addr: SocketAddr) -> Result<Call, CallError> {
         let now = Instant::now();
-        while let Some(mut connection) = self.pool.take(addr, now) {
-            if is_alive(&mut connection).await {
-                let open = self.pool.begin(addr, now, true);
-                return Ok(Call { connection, open });
+        while let Some(mut connection) = self.pool.take_idle(addr, now) {
+            if is_open(&mut connection).await {
+                let pending = self.pool.start_call(addr, now, true);
+                return Ok(Call {
+                    connection,
+                    pending,
+                });
             }
         }
         let connection = self.connect(addr).await?;
-        let open = self.pool.begin(addr, now, false);
-        Ok(Call { connection, open })
+        let pending = self.pool.start_call(addr, now, false);
+        Ok(Call {
+            connection,
+            pending,
+        })
     }
 
     async fn connect(&self, addr: SocketAddr) -> Result<Connection, CallError> {
@@ -211,28 +215,29 @@
     }
 }
 
-/// A call whose request is being sent.
+/// A call and the connection that it uses.
 struct Call {
     connection: Connection,
-    open: OpenCall<Connection>,
+    pending: PendingCall<Connection>,
 }
 
-/// Sets a connection's options. Without them it still works, only slower.
+/// Disables Nagle's algorithm and enables keepalive. A failure is only logged: the
+/// connection works without them.
 fn set_options(stream: &TcpStream, addr: SocketAddr) {
-    let (idle, probes) = (Some(KEEP_ALIVE), Some(KEEP_ALIVE_PROBES));
+    let (interval, probes) = (Some(KEEPALIVE_INTERVAL), Some(KEEPALIVE_PROBES));
     let set = stream
         .set_nodelay(true)
-        .and_then(|()| stream.set_tcp_keepalive(idle, idle, probes));
+        .and_then(|()| stream.set_tcp_keepalive(interval, interval, probes));
     if let Err(error) = set {
-        debug!(%addr, %error, "connection without its options");
+        debug!(%addr, %error, "socket options not set");
     }
 }
 
-/// Returns whether an idle connection is still open: nothing may have come on
-/// it, neither bytes nor its end.
-async fn is_alive(connection: &mut Connection) -> bool {
+/// Returns true if an idle connection can be used: neither unexpected bytes nor the end of
+/// the stream were received.
+async fn is_open(connection: &mut Connection) -> bool {
     let mut peek = std::pin::pin!(connection.reader.peek_data());
-    // One look is enough, and cheaper than a timer.
+    // A single poll, which is cheaper than a timer.
     std::future::poll_fn(|cx| Poll::Ready(peek.as_mut().poll(cx).is_pending())).await
 }
 
@@ -251,17 +256,17 @@
         .expect("callers pass valid paths")
 }
 
-/// Sends a request and reads its reply. `wait` bounds each silence: until the head has
-/// come, and from one part of the body to the next, so that a long reply on a slow link goes
-/// on as long as it makes progress.
+/// Sends a request and reads its reply. `wait` bounds the time until the head and then each
+/// part of the body is received, so a long reply on a slow link doesn't time out while it
+/// makes progress.
 async fn exchange(
     connection: &mut Connection,
     req: Request<Payload>,
     limits: ClientLimits,
     wait: Duration,
 ) -> Result<ClientReply, ReadError> {
-    let head = begin_exchange(connection, req);
-    let head = within(wait, head).await?;
+    let head = send_and_read_head(connection, req);
+    let head = with_timeout(wait, head).await?;
     let length = body_length(&head.headers, limits.body_bytes)?;
     let body = read_body(connection, length, limits.body_rate, wait).await?;
     Ok(ClientReply {
@@ -271,16 +276,20 @@
 }
 
 /// Sends a request and reads the head of its reply.
-async fn begin_exchange(
+async fn send_and_read_head(
     connection: &mut Connection,
     req: Request<Payload>,
 ) -> Result<ResponseHead, ReadError> {
     let sent = connection.writer.send_and_flush(req).await;
-    sent.map_err(|_| ReadError::Ended)?;
-    connection.reader.next().await.ok_or(ReadError::Ended)?
+    sent.map_err(|_| ReadError::ConnectionClosed)?;
+    connection
+        .reader
+        .next()
+        .await
+        .ok_or(ReadError::ConnectionClosed)?
 }
 
-/// Reads a body part by part.
+/// Reads a body of `length` bytes in parts, no faster than `rate`.
 async fn read_body(
     connection: &mut Connection,
     length: usize,
@@ -289,10 +298,10 @@
 ) -> Result<Bytes, ReadError> {
     let mut body = BytesMut::new();
     while body.len() < length {
-        let mut missing = PartOfBody(length - body.len());
-        let part = within(wait, async {
-            let part = connection.reader.next_with(&mut missing).await;
-            part.ok_or(ReadError::Ended)?
+        let mut decoder = BodyPart(length - body.len());
+        let part = with_timeout(wait, async {
+            let part = connection.reader.next_with(&mut decoder).await;
+            part.ok_or(ReadError::ConnectionClosed)?
         });
         let part = part.await?;
         let pause = rate.and_then(|rate| rate.pause_after(body.len(), part.len()));
@@ -308,10 +317,12 @@
     Ok(body.freeze())
 }
 
-/// Fails a step that takes longer than `wait`.
-async fn within<T>(
+/// Fails with [`ReadError::TimedOut`] if `operation` takes longer than `wait`.
+async fn with_timeout<T>(
     wait: Duration,
-    step: impl Future<Output = Result<T, ReadError>>,
+    operation: impl Future<Output = Result<T, ReadError>>,
 ) -> Result<T, ReadError> {
-    timeout(wait, step).await.map_err(|_| ReadError::TimedOut)?
+    timeout(wait, operation)
+        .await
+        .map_err(|_| ReadError::TimedOut)?
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP over `monoio` with the bounds that the codec leaves to its user.
+//! An HTTP/1.1 client and server over `monoio`, with the limits that the codec doesn't set.
 //!
-//! The server refuses what the codec would let through: bodies without a
-//! single plain length, heads and bodies over a limit, slow requests. The
-//! client tells a request that was never sent from one whose fate is unknown.
+//! The server refuses bodies without a single decimal length, heads and bodies over a
+//! limit, and slow requests. The client distinguishes requests that were never sent from
+//! those that the server may have processed.
 
 pub mod body;
 mod body_rate;
--- a/crates/net/src/message.rs
+++ b/crates/net/src/message.rs
@@ -1,41 +1,41 @@
-//! Requests and replies as handlers see them.
+//! Requests and replies as request handlers use them.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, StatusCode};
 
-/// A request read whole.
+/// A complete request.
 #[derive(Debug)]
 pub struct HttpRequest {
-    /// The method.
+    /// The method; each handler decides which ones it takes.
     pub method: Method,
     /// The path, without the query.
     pub path: String,
-    /// The query, or an empty text.
+    /// The query without the question mark, or an empty string.
     pub query: String,
-    /// The headers.
+    /// All headers of the request.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body; may be empty.
     pub body: Bytes,
 }
 
-/// A reply to be written whole.
+/// A complete reply to send.
 #[derive(Clone, Debug)]
 pub struct HttpReply {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The media type of the body; empty where both sides know it, and the head is to be
-    /// short.
+    /// The media type of the body. If it is empty, the header is left out: both sides know
+    /// the type, and the head stays short.
     pub content_type: &'static str,
-    /// Seconds for the `Retry-After` header.
+    /// Value of the `Retry-After` header in seconds; left out if `None`.
     pub retry_after_s: Option<u64>,
-    /// Whether the connection ends with this reply.
+    /// If true, the server closes the connection after this reply.
     pub close: bool,
-    /// The body.
+    /// The body; may be empty.
     pub body: Bytes,
 }
 
 impl HttpReply {
-    /// Creates a reply.
+    /// Creates a reply that keeps the connection open and has no `Retry-After` header.
     #[must_use]
     pub fn new(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Self {
         Self {
@@ -53,7 +53,8 @@
         Self::new(status, "application/json", body)
     }
 
-    /// Creates a problem reply after RFC 9457.
+    /// Creates a reply with problem details (RFC 9457). `kind` and `title` are written
+    /// unescaped.
     #[must_use]
     pub fn problem(status: StatusCode, kind: &str, title: &str) -> Self {
         let body = format!(
@@ -64,5 +65,5 @@
     }
 }
 
-/// The media type of problem details.
+/// The media type of problem details (RFC 9457).
 pub const PROBLEM_JSON: &str = "application/problem+json";
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -1,17 +1,16 @@
-//! Idle connections, and which of them calls use again.
+//! Idle connections, and the rules by which calls reuse them.
 //!
-//! [`Pool`] owns the idle connections of each address and knows the calls on reused ones
-//! that have no reply yet. Connections may go silent without an end, all of an address at
-//! once, while new ones work. An idle connection can't show that, so it isn't used any
-//! more where another one gave cause for doubt:
+//! [`Pool`] owns the idle connections of each address and records the calls on reused ones
+//! that have no reply yet. All connections to an address may stop delivering data at once
+//! without being closed, while new ones work. An idle connection doesn't show this, so it
+//! becomes suspect, and is closed instead of reused, in two cases:
 //!
-//! - a call on a reused connection timed out, and this one brought nothing since that
-//!   call was sent;
-//! - such a call is overdue ([`Pool::new`]), and this one brought nothing since.
+//! - a call on a reused connection timed out, and the idle connection delivered no reply
+//!   since that call was sent;
+//! - a call on a reused connection is overdue ([`Pool::new`]), and the idle connection
+//!   delivered no reply since that call was sent.
 //!
-//! Guards against one time-out after the other: with 8 idle connections that went silent
-//! 8 calls failed before one was served, now 1, and none but the overdue call itself where
-//! calls may be overdue (`tests/silence.rs`).
+//! Otherwise each dead idle connection would cost a timeout of its own.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -28,37 +27,37 @@
 /// The connections of one address.
 struct Address<C> {
     idle: Vec<Idle<C>>,
-    /// When the calls on reused connections were sent that have no reply yet.
-    open: BTreeMap<u64, Instant>,
-    /// Connections that brought nothing since then aren't used any more.
-    silent_since: Option<Instant>,
+    /// Calls on reused connections that have no reply yet: when each was sent, by number.
+    pending: BTreeMap<u64, Instant>,
+    /// When the latest call that timed out was sent.
+    timed_out_call_sent: Option<Instant>,
 }
 
 impl<C> Default for Address<C> {
     fn default() -> Self {
         Self {
             idle: Vec::new(),
-            open: BTreeMap::new(),
-            silent_since: None,
+            pending: BTreeMap::new(),
+            timed_out_call_sent: None,
         }
     }
 }
 
 impl<C> Address<C> {
-    /// Returns since when connections have to have brought something to be trusted, if
-    /// there is doubt.
-    fn doubted_since(&self, now: Instant, suspect_after: Option<Duration>) -> Option<Instant> {
+    /// Returns the time before which an idle connection's last reply makes it suspect, if
+    /// there is one.
+    fn suspect_before(&self, now: Instant, suspect_after: Option<Duration>) -> Option<Instant> {
         let overdue = suspect_after.and_then(|after| {
-            let sent = self.open.values().copied();
+            let sent = self.pending.values().copied();
             sent.filter(|sent| *sent + after <= now).max()
         });
-        self.silent_since.max(overdue)
+        self.timed_out_call_sent.max(overdue)
     }
 }
 
 struct State<C> {
     addresses: HashMap<SocketAddr, Address<C>>,
-    last_call: u64,
+    last_call_number: u64,
     idle_per_address: usize,
     suspect_after: Option<Duration>,
 }
@@ -73,39 +72,45 @@
 }
 
 impl<C> Pool<C> {
-    /// Creates a pool that keeps so many idle connections for each address. A call is
-    /// overdue `suspect_after` it was sent, or never.
+    /// Creates a pool that keeps at most `idle_per_address` idle connections for each
+    /// address. A call is overdue once `suspect_after` has passed since it was sent; never,
+    /// if that is `None`.
     pub(crate) fn new(idle_per_address: usize, suspect_after: Option<Duration>) -> Self {
         Self(Rc::new(RefCell::new(State {
             addresses: HashMap::new(),
-            last_call: 0,
+            last_call_number: 0,
             idle_per_address,
             suspect_after,
         })))
     }
 
-    /// Takes the connection that was used last, if it is trusted; closes those that
-    /// aren't.
-    pub(crate) fn take(&self, addr: SocketAddr, now: Instant) -> Option<C> {
+    /// Closes the address's suspect connections and takes the most recently used one of the
+    /// others.
+    pub(crate) fn take_idle(&self, addr: SocketAddr, now: Instant) -> Option<C> {
         let mut state = self.0.borrow_mut();
         let suspect_after = state.suspect_after;
         let address = state.addresses.get_mut(&addr)?;
-        if let Some(since) = address.doubted_since(now, suspect_after) {
-            address.idle.retain(|idle| idle.last_reply >= since);
+        if let Some(limit) = address.suspect_before(now, suspect_after) {
+            address.idle.retain(|idle| idle.last_reply >= limit);
         }
         Some(address.idle.pop()?.connection)
     }
 
-    /// Records a call; `reused` tells whether its connection was idle before.
-    pub(crate) fn begin(&self, addr: SocketAddr, sent: Instant, reused: bool) -> OpenCall<C> {
+    /// Records a call. `reused` is true if its connection was idle before.
+    pub(crate) fn start_call(
+        &self,
+        addr: SocketAddr,
+        sent: Instant,
+        reused: bool,
+    ) -> PendingCall<C> {
         let mut state = self.0.borrow_mut();
-        state.last_call += 1;
-        let number = state.last_call;
+        state.last_call_number += 1;
+        let number = state.last_call_number;
         if reused {
             let address = state.addresses.entry(addr).or_default();
-            address.open.insert(number, sent);
+            address.pending.insert(number, sent);
         }
-        OpenCall {
+        PendingCall {
             pool: self.clone(),
             addr,
             number,
@@ -115,8 +120,8 @@
     }
 }
 
-/// A call that has no reply yet. It is over when this is dropped.
-pub(crate) struct OpenCall<C> {
+/// A call that has no reply yet. Dropping it removes the call's record.
+pub(crate) struct PendingCall<C> {
     pool: Pool<C>,
     addr: SocketAddr,
     number: u64,
@@ -124,25 +129,25 @@
     reused: bool,
 }
 
-impl<C> OpenCall<C> {
-    /// Records that its time is up. A new connection without a reply says nothing of the
-    /// others.
-    pub(crate) fn timed_out(&self) {
+impl<C> PendingCall<C> {
+    /// Records that the call timed out. On a new connection this has no effect: it doesn't
+    /// show that the idle ones are dead.
+    pub(crate) fn record_timeout(&self) {
         if !self.reused {
             return;
         }
         let mut state = self.pool.0.borrow_mut();
         if let Some(address) = state.addresses.get_mut(&self.addr) {
-            address.silent_since = address.silent_since.max(Some(self.sent));
+            address.timed_out_call_sent = address.timed_out_call_sent.max(Some(self.sent));
         }
     }
 
-    /// Records its reply, and keeps its connection unless there are enough.
-    pub(crate) fn replied(&self, now: Instant, connection: C) {
+    /// Records the call's reply, and keeps its connection unless enough are idle.
+    pub(crate) fn record_reply(&self, now: Instant, connection: C) {
         let mut state = self.pool.0.borrow_mut();
-        let most = state.idle_per_address;
+        let max_idle = state.idle_per_address;
         let address = state.addresses.entry(self.addr).or_default();
-        if address.idle.len() < most {
+        if address.idle.len() < max_idle {
             address.idle.push(Idle {
                 connection,
                 last_reply: now,
@@ -151,11 +156,11 @@
     }
 }
 
-impl<C> Drop for OpenCall<C> {
+impl<C> Drop for PendingCall<C> {
     fn drop(&mut self) {
         let mut state = self.pool.0.borrow_mut();
         if let Some(address) = state.addresses.get_mut(&self.addr) {
-            address.open.remove(&self.number);
+            address.pending.remove(&self.number);
         }
     }
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,5 +1,5 @@
-//! A bounded HTTP server: one task a connection, which ends with it; bounds on heads,
-//! bodies, idle time and connections from one address.
+//! An HTTP server with one task per connection and limits on heads, bodies, idle time and
+//! connections per client address.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -23,23 +23,22 @@
 use crate::body::{body_length, BoundedHead, ExactBody, ReadError};
 use crate::{HttpReply, HttpRequest};
 
-/// Bounds on what a server reads.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Longest head, in bytes.
+    /// Longest accepted head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Longest accepted body, in bytes.
     pub body_bytes: usize,
-    /// Longest time from a connection's last reply to the next request.
+    /// Longest time from a connection's last reply until the next request's head is
+    /// received.
     pub idle_timeout: Duration,
-    /// Longest time for a body once its head has come.
+    /// Longest time from the receipt of a head to that of its body.
     pub body_timeout: Duration,
-    /// Connections from one address at a time.
+    /// Most open connections from one IP address.
     pub connections_per_address: usize,
 }
 
-// All chosen, not measured: far above what callers and peers send, low enough that one
-// address can't exhaust memory.
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
@@ -52,21 +51,22 @@
     }
 }
 
-type PerPeer = Rc<std::cell::RefCell<HashMap<IpAddr, Rc<Cell<usize>>>>>;
+/// Open connections by client address.
+type ConnectionCounts = Rc<std::cell::RefCell<HashMap<IpAddr, Rc<Cell<usize>>>>>;
 
-/// Counts a connection for as long as it lives.
-struct Counted(Rc<Cell<usize>>);
+/// Counts a connection until it is dropped.
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Binds an address that no other process may bind at the same time.
+/// Binds an address exclusively.
 ///
-/// Hosts rely on this: one that runs at an address proves that whatever ran
-/// there before has ended.
+/// Hosts rely on this: a process that is bound to an address proves that the process
+/// that was bound to it before has ended.
 ///
 /// # Errors
 ///
@@ -76,46 +76,52 @@
     TcpListener::bind_with_config(addr, &opts)
 }
 
-/// Accepts connections for as long as the task lives, and calls `handler` for
-/// each request. What it returns is dropped when the request's connection
-/// ends before the reply.
+/// Accepts connections until the task is dropped, and calls `handler` for each request. The
+/// handler's future is dropped if the client disconnects before the reply.
 pub async fn serve<H, F>(listener: TcpListener, limits: ServerLimits, handler: H)
 where
     H: Fn(HttpRequest) -> F + Clone + 'static,
     F: Future<Output = HttpReply> + 'static,
 {
-    let per_peer = PerPeer::default();
+    let counts = ConnectionCounts::default();
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of file descriptors: give the open connections time to end.
+            // Mostly out of file descriptors: leaves open connections time to close.
             monoio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let Some(counted) = admit(&per_peer, peer.ip(), limits.connections_per_address) else {
+        let Some(guard) = count_connection(&counts, peer.ip(), limits.connections_per_address)
+        else {
             debug!(%peer, "connection refused: too many from this address");
             continue;
         };
         let handler = handler.clone();
         monoio::spawn(async move {
-            let _counted = counted;
-            if let Err(error) = connection(stream, limits, handler).await {
+            let _guard = guard;
+            if let Err(error) = serve_connection(stream, limits, handler).await {
                 debug!(%peer, %error, "connection ended");
             }
         });
     }
 }
 
-fn admit(per_peer: &PerPeer, ip: IpAddr, limit: usize) -> Option<Counted> {
-    let mut per_peer = per_peer.borrow_mut();
-    let count = per_peer.entry(ip).or_default().clone();
+/// Counts a new connection; returns `None` if the address has `limit` already.
+fn count_connection(
+    counts: &ConnectionCounts,
+    ip: IpAddr,
+    limit: usize,
+) -> Option<ConnectionGuard> {
+    let mut counts = counts.borrow_mut();
+    let count = counts.entry(ip).or_default().clone();
     if count.get() >= limit {
         return None;
     }
     count.set(count.get() + 1);
-    Some(Counted(count))
+    Some(ConnectionGuard(count))
 }
 
-async fn connection<H, F>(
+/// Serves the requests of a connection one after the other until it is closed.
+async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: ServerLimits,
     handler: H,
@@ -134,7 +140,7 @@
             Ok(Some(req)) => req,
             Ok(None) => return Ok(()),
             Err(error) => {
-                if let Some(reply) = refusal(&error) {
+                if let Some(reply) = error_reply(&error) {
                     let _ = writer.send_and_flush(response(reply, true)).await;
                     let _ = Sink::<Response<Payload>>::close(&mut writer).await;
                 }
@@ -142,12 +148,12 @@
             }
         };
         let close = wants_close(&req);
-        let Some(reply) = unless_gone(&mut reader, handler(req)).await else {
-            return Err(ReadError::Ended);
+        let Some(reply) = reply_unless_disconnected(&mut reader, handler(req)).await else {
+            return Err(ReadError::ConnectionClosed);
         };
         let close = close || reply.close;
         if writer.send_and_flush(response(reply, close)).await.is_err() {
-            return Err(ReadError::Ended);
+            return Err(ReadError::ConnectionClosed);
         }
         if close {
             let _ = Sink::<Response<Payload>>::close(&mut writer).await;
@@ -156,34 +162,35 @@
     }
 }
 
-/// Awaits a handler's reply, and drops the handler when its caller is gone.
+/// Awaits a handler's reply. Drops the handler and returns `None` if the caller disconnects.
 ///
-/// The connection is looked at first: a handler whose caller is gone already never begins.
-/// Guards against two runs of a task at once: a caller whose connection was reset while its
-/// request was on its way sent it to another host 10 ms later, and both began it (1 of 12 plays
-/// of the first 3 s of a day on which connections are reset).
-async fn unless_gone<R: monoio::io::AsyncReadRent>(
+/// The connection is polled before the handler: a handler whose caller has already
+/// disconnected never starts. Otherwise a task may run twice at once, because a caller whose
+/// connection was reset sends its request to another host.
+async fn reply_unless_disconnected<R: monoio::io::AsyncReadRent>(
     reader: &mut FramedRead<R, BoundedHead<RequestHeadDecoder>>,
     handler: impl Future<Output = HttpReply>,
 ) -> Option<HttpReply> {
     let mut handler = std::pin::pin!(handler);
-    let gone = monoio::select! {
+    let disconnected = monoio::select! {
         biased;
         peeked = reader.peek_data() => peeked.map_or(true, |data| data.is_empty()),
         reply = &mut handler => return Some(reply),
     };
-    // What came is the next request; it waits for this one's reply.
-    if gone {
+    // Bytes that were received belong to the next request, which waits for this reply.
+    if disconnected {
         return None;
     }
     Some(handler.await)
 }
 
+/// Returns true if the client asks to close the connection after the reply.
 fn wants_close(req: &HttpRequest) -> bool {
     let connection = req.headers.get(http::header::CONNECTION);
     connection.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
+/// Reads a request; returns `None` if the connection was closed before one.
 async fn read_request<R: monoio::io::AsyncReadRent>(
     reader: &mut FramedRead<R, BoundedHead<RequestHeadDecoder>>,
     limits: &ServerLimits,
@@ -201,7 +208,7 @@
         let mut exact = ExactBody(length);
         match timeout(limits.body_timeout, reader.next_with(&mut exact)).await {
             Err(_) => return Err(ReadError::TimedOut),
-            Ok(None) => return Err(ReadError::Ended),
+            Ok(None) => return Err(ReadError::ConnectionClosed),
             Ok(Some(body)) => body?,
         }
     };
@@ -214,8 +221,8 @@
     }))
 }
 
-/// Returns what to tell a peer whose request can't be read, if anything.
-fn refusal(error: &ReadError) -> Option<HttpReply> {
+/// Returns the reply to a request that can't be read; `None` if the connection is unusable.
+fn error_reply(error: &ReadError) -> Option<HttpReply> {
     let (status, kind, title) = match error {
         ReadError::HeadTooLong(_) => (
             StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -227,12 +234,12 @@
             "body-too-long",
             "The request's body is over the limit",
         ),
-        ReadError::Length => (
+        ReadError::InvalidLength => (
             StatusCode::LENGTH_REQUIRED,
             "length-required",
             "The body's length must be given once, as a plain number",
         ),
-        ReadError::Head(_) => (
+        ReadError::MalformedHead(_) => (
             StatusCode::BAD_REQUEST,
             "malformed-head",
             "The request's head is malformed",
@@ -242,11 +249,12 @@
             "request-timeout",
             "The request didn't come whole in time",
         ),
-        ReadError::Io(_) | ReadError::Ended => return None,
+        ReadError::Io(_) | ReadError::ConnectionClosed => return None,
     };
     Some(HttpReply::problem(status, kind, title))
 }
 
+/// Converts a reply to the form that the encoder takes.
 fn response(reply: HttpReply, close: bool) -> Response<Payload> {
     let mut builder = Response::builder()
         .status(reply.status)
--- a/crates/net/tests/bounds.rs
+++ b/crates/net/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! The server's bounds, over real sockets.
+//! Tests of the server's limits over real sockets.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -33,7 +33,7 @@
     rx.recv().expect("an address")
 }
 
-/// Sends bytes, closes the sending side if asked to, and reads to the end.
+/// Sends bytes, closes the sending side if `half_close` is set, and reads to the end.
 fn exchange(addr: SocketAddr, bytes: &[u8], half_close: bool) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream.write_all(bytes).expect("sent");
@@ -41,12 +41,12 @@
         stream.shutdown(Shutdown::Write).expect("closed");
     }
     let mut text = Vec::new();
-    // A reset after the reply is as good as an end.
+    // A reset after the reply counts as its end.
     let _ = stream.read_to_end(&mut text);
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// Declares tests, each a name, what is sent, and how the reply begins.
+/// Declares tests, each with a name, the bytes sent and the start of the expected reply.
 macro_rules! exchanges {
     ($($name:ident: $bytes:expr => $status:expr;)+) => {
         $(#[test]
@@ -58,15 +58,15 @@
 }
 
 exchanges! {
-    a_good_request: b"POST / HTTP/1.1\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi"
+    a_valid_request_is_answered: b"POST / HTTP/1.1\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi"
         => "HTTP/1.1 200";
-    a_slow_head: b"POST / HTT" => "HTTP/1.1 408";
-    a_slow_body: b"POST / HTTP/1.1\r\ncontent-length: 10\r\n\r\nhi" => "HTTP/1.1 408";
-    a_long_body: b"POST / HTTP/1.1\r\ncontent-length: 65\r\n\r\n" => "HTTP/1.1 413";
-    a_signed_length: b"POST / HTTP/1.1\r\ncontent-length: +2\r\n\r\nhi" => "HTTP/1.1 411";
-    a_long_head: format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(600))
+    a_slow_head_times_out: b"POST / HTT" => "HTTP/1.1 408";
+    a_slow_body_times_out: b"POST / HTTP/1.1\r\ncontent-length: 10\r\n\r\nhi" => "HTTP/1.1 408";
+    a_long_body_is_refused: b"POST / HTTP/1.1\r\ncontent-length: 65\r\n\r\n" => "HTTP/1.1 413";
+    a_signed_length_is_refused: b"POST / HTTP/1.1\r\ncontent-length: +2\r\n\r\nhi" => "HTTP/1.1 411";
+    a_long_head_is_refused: format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(600))
         => "HTTP/1.1 431";
-    a_malformed_head: b"\x01\x02 / HTTP/1.1\r\n\r\n" => "HTTP/1.1 400";
+    a_malformed_head_is_refused: b"\x01\x02 / HTTP/1.1\r\n\r\n" => "HTTP/1.1 400";
 }
 
 #[test]
@@ -93,18 +93,18 @@
     drop(open);
 }
 
-/// Tells when it is dropped.
-struct Dropped(mpsc::Sender<()>);
+/// Sends a message when it is dropped.
+struct DropNotifier(mpsc::Sender<()>);
 
-impl Drop for Dropped {
+impl Drop for DropNotifier {
     fn drop(&mut self) {
-        // The test may have seen enough.
+        // The test may have ended.
         let _ = self.0.send(());
     }
 }
 
 #[test]
-fn a_handler_is_dropped_when_its_caller_is_gone() {
+fn a_handler_is_dropped_when_its_caller_disconnects() {
     let (addr_tx, addr_rx) = mpsc::channel();
     let (dropped_tx, dropped_rx) = mpsc::channel();
     std::thread::spawn(move || {
@@ -113,9 +113,9 @@
             let addr = listener.local_addr().expect("a bound address");
             addr_tx.send(addr).expect("a receiver");
             serve(listener, ServerLimits::default(), move |_| {
-                let dropped = Dropped(dropped_tx.clone());
+                let notifier = DropNotifier(dropped_tx.clone());
                 async move {
-                    let _dropped = dropped;
+                    let _notifier = notifier;
                     std::future::pending::<HttpReply>().await
                 }
             })
@@ -128,23 +128,23 @@
         .write_all(b"POST / HTTP/1.1\r\ncontent-length: 2\r\n\r\nhi")
         .expect("sent");
     let early = dropped_rx.recv_timeout(Duration::from_millis(100));
-    assert!(early.is_err(), "the caller still waits");
+    assert!(early.is_err(), "dropped while the caller waits");
     drop(stream);
     let dropped = dropped_rx.recv_timeout(Duration::from_secs(20));
-    assert!(dropped.is_ok(), "the caller is gone");
+    assert!(dropped.is_ok(), "not dropped after the caller disconnected");
 }
 
 #[test]
-fn a_handler_never_begins_if_its_caller_is_gone_already() {
+fn a_handler_never_starts_if_its_caller_has_disconnected() {
     let (addr_tx, addr_rx) = mpsc::channel();
-    let (serve_tx, serve_rx) = mpsc::channel();
+    let (start_tx, start_rx) = mpsc::channel();
     let (path_tx, path_rx) = mpsc::channel();
     std::thread::spawn(move || {
         let server = async move {
             let listener = bind(([127, 0, 0, 1], 0).into()).expect("a free port");
             let addr = listener.local_addr().expect("a bound address");
             addr_tx.send(addr).expect("a receiver");
-            serve_rx.recv().expect("a sender");
+            start_rx.recv().expect("a sender");
             serve(listener, ServerLimits::default(), move |req| {
                 let path_tx = path_tx.clone();
                 async move {
@@ -165,15 +165,15 @@
     let mut stream = TcpStream::connect(addr).expect("open");
     let request = b"POST /waits HTTP/1.1\r\ncontent-length: 2\r\n\r\nhi";
     stream.write_all(request).expect("sent");
-    serve_tx.send(()).expect("a receiver");
-    let begun = path_rx.recv_timeout(Duration::from_secs(20));
-    assert_eq!(begun.expect("a request of a caller that waits"), "/waits");
-    let begun = path_rx.recv_timeout(Duration::from_millis(200));
-    assert!(begun.is_err(), "{begun:?}");
+    start_tx.send(()).expect("a receiver");
+    let started = path_rx.recv_timeout(Duration::from_secs(20));
+    assert_eq!(started.expect("a request of a caller that waits"), "/waits");
+    let started = path_rx.recv_timeout(Duration::from_millis(200));
+    assert!(started.is_err(), "{started:?}");
 }
 
 #[test]
-fn a_reply_may_end_its_connection() {
+fn a_reply_may_close_its_connection() {
     let (tx, rx) = mpsc::channel();
     std::thread::spawn(move || {
         let server = async move {
--- a/crates/net/tests/long_replies.rs
+++ b/crates/net/tests/long_replies.rs
@@ -1,4 +1,4 @@
-//! Long replies over slow links, over real sockets.
+//! Tests of long replies on slow links, over real sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,14 +9,14 @@
 use gannetridge_net::{runtime, BodyRate, CallError, Client, ClientLimits};
 use http::Method;
 
-/// How long each silence of a reply may last.
+/// Longest time until the next part of a reply is received.
 const WAIT: Duration = Duration::from_millis(300);
-/// Between two parts of the body.
+/// Pause between two parts of the body.
 const PAUSE: Duration = Duration::from_millis(60);
-const PART: usize = 1_000;
+const PART_BYTES: usize = 1_000;
 const PARTS: usize = 20;
 
-/// Answers one request with a body in parts, and goes silent after so many of them.
+/// Answers one request with a body in parts, and stops sending after `parts` of them.
 fn serve(parts: usize) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let addr = listener.local_addr().expect("a bound address");
@@ -32,13 +32,13 @@
     let _ = stream.read(&mut request).expect("a request");
     let head = format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
-        PART * PARTS
+        PART_BYTES * PARTS
     );
     stream.write_all(head.as_bytes()).expect("sent");
     for _ in 0..parts {
         std::thread::sleep(PAUSE);
         // The client may have given up.
-        if stream.write_all(&[b'x'; PART]).is_err() {
+        if stream.write_all(&[b'x'; PART_BYTES]).is_err() {
             return;
         }
     }
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn a_reply_that_makes_progress_may_take_longer_than_a_silence() {
+fn a_reply_that_makes_progress_may_take_longer_than_the_wait() {
     let reply = call(serve(PARTS), ClientLimits::default()).expect("a reply");
-    assert_eq!(reply.body.len(), PART * PARTS);
+    assert_eq!(reply.body.len(), PART_BYTES * PARTS);
 }
 
 #[test]
-fn a_reply_that_falls_silent_midway_is_given_up() {
+fn a_reply_that_stops_midway_times_out() {
     let reply = call(serve(PARTS / 2), ClientLimits::default());
     assert!(
         matches!(reply, Err(CallError::OutcomeUnknown(_))),
@@ -70,7 +70,7 @@
     );
 }
 
-/// Sends a long body as fast as it is taken.
+/// Answers one request with a long body, sent without pauses.
 fn serve_fast(length: usize) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let addr = listener.local_addr().expect("a bound address");
@@ -95,9 +95,9 @@
         }),
         ..ClientLimits::default()
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let reply = call(serve_fast(length), limits).expect("a reply");
     assert_eq!(reply.body.len(), length);
-    // Its first part comes at once; a busy machine only makes it later.
-    assert!(begun.elapsed() > Duration::from_millis(300));
+    // The first bytes are read without a limit; a busy machine only adds to the time.
+    assert!(started.elapsed() > Duration::from_millis(300));
 }
--- a/crates/net/tests/silence.rs
+++ b/crates/net/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent without an end, over real sockets.
+//! Tests of connections that stop delivering data without being closed, over real sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,42 +11,42 @@
 use gannetridge_net::{runtime, CallError, Client, ClientLimits};
 use http::Method;
 
-/// How long calls wait for their reply: far longer than the stand-in takes.
+/// How long calls wait for their reply: far longer than the server takes.
 const WAIT: Duration = Duration::from_millis(400);
-/// How long the stand-in takes, so that calls at once need connections of their own.
-const WORK: Duration = Duration::from_millis(40);
+/// How long the server takes, so that concurrent calls need connections of their own.
+const REPLY_DELAY: Duration = Duration::from_millis(40);
 
 /// A server whose open connections can be made to go silent.
 #[derive(Clone)]
-struct StandIn {
+struct TestServer {
     addr: SocketAddr,
     accepted: Arc<AtomicUsize>,
-    /// The first so many connections neither read nor answer.
+    /// The number of connections, the first accepted ones, that send no replies.
     silent: Arc<AtomicUsize>,
 }
 
-impl StandIn {
+impl TestServer {
     fn start() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
-        let stand_in = Self {
+        let server = Self {
             addr: listener.local_addr().expect("a bound address"),
             accepted: Arc::default(),
             silent: Arc::default(),
         };
-        let serving = stand_in.clone();
+        let shared = server.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let number = serving.accepted.fetch_add(1, Ordering::SeqCst);
-                let silent = serving.silent.clone();
+                let number = shared.accepted.fetch_add(1, Ordering::SeqCst);
+                let silent = shared.silent.clone();
                 let stream = stream.expect("a connection");
                 std::thread::spawn(move || answer(stream, number, &silent));
             }
         });
-        stand_in
+        server
     }
 
-    /// All connections that are open now go silent.
-    fn silence(&self) {
+    /// Stops replies on all connections accepted so far.
+    fn silence_connections(&self) {
         let open = self.accepted.load(Ordering::SeqCst);
         self.silent.store(open, Ordering::SeqCst);
     }
@@ -65,9 +65,9 @@
             continue;
         }
         head.clear();
-        std::thread::sleep(WORK);
+        std::thread::sleep(REPLY_DELAY);
         while number < silent.load(Ordering::SeqCst) {
-            std::thread::sleep(WORK);
+            std::thread::sleep(REPLY_DELAY);
         }
         let reply = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
         if stream.write_all(reply).is_err() {
@@ -83,8 +83,8 @@
         .await
 }
 
-/// Makes so many calls at once; returns how many had a reply.
-async fn calls_at_once(client: &Client, addr: SocketAddr, calls: usize) -> usize {
+/// Makes concurrent calls; returns how many had a reply.
+async fn concurrent_calls(client: &Client, addr: SocketAddr, calls: usize) -> usize {
     let calls = (0..calls).map(|_| {
         let client = client.clone();
         monoio::spawn(async move { call(&client, addr).await.is_ok() })
@@ -103,72 +103,72 @@
     })
 }
 
-/// Names tests after what they show; each gets a stand-in of its own.
+/// Declares tests, each with a server of its own.
 macro_rules! cases {
-    ($($name:ident($stand_in:ident) $body:block)+) => {
+    ($($name:ident($server:ident) $body:block)+) => {
         $(#[test]
         fn $name() {
-            let $stand_in = StandIn::start();
+            let $server = TestServer::start();
             runtime::run(async move { $body }).expect("a runtime");
         })+
     };
 }
 
 cases! {
-    after_one_time_out_calls_are_served(stand_in) {
+    after_one_timeout_calls_use_new_connections(server) {
         let client = client(None);
-        assert_eq!(calls_at_once(&client, stand_in.addr, 8).await, 8);
-        stand_in.silence();
+        assert_eq!(concurrent_calls(&client, server.addr, 8).await, 8);
+        server.silence_connections();
         let mut failed = 0;
-        while call(&client, stand_in.addr).await.is_err() {
+        while call(&client, server.addr).await.is_err() {
             failed += 1;
         }
-        // Before idle connections were doubted: 8.
+        // Each dead idle connection would cost a timeout of its own.
         assert_eq!(failed, 1);
     }
 
-    beside_an_overdue_call_others_are_served(stand_in) {
-        let client = client(Some(WORK * 3));
-        assert_eq!(calls_at_once(&client, stand_in.addr, 8).await, 8);
-        stand_in.silence();
+    while_a_call_is_overdue_others_use_new_connections(server) {
+        let client = client(Some(REPLY_DELAY * 3));
+        assert_eq!(concurrent_calls(&client, server.addr, 8).await, 8);
+        server.silence_connections();
         let overdue = {
-            let (client, addr) = (client.clone(), stand_in.addr);
+            let (client, addr) = (client.clone(), server.addr);
             monoio::spawn(async move { call(&client, addr).await })
         };
-        monoio::time::sleep(WORK * 4).await;
-        // Before idle connections were doubted: 0 of 6.
-        assert_eq!(calls_at_once(&client, stand_in.addr, 6).await, 6);
+        monoio::time::sleep(REPLY_DELAY * 4).await;
+        // Calls on dead idle connections would time out.
+        assert_eq!(concurrent_calls(&client, server.addr, 6).await, 6);
         assert!(overdue.await.is_err());
     }
 
-    a_connection_that_answered_since_is_used_again(stand_in) {
+    a_connection_that_replied_after_the_timed_out_call_is_reused(server) {
         let client = client(None);
-        assert_eq!(calls_at_once(&client, stand_in.addr, 1).await, 1);
-        stand_in.silence();
+        assert_eq!(concurrent_calls(&client, server.addr, 1).await, 1);
+        server.silence_connections();
         let lost = {
-            let (client, addr) = (client.clone(), stand_in.addr);
+            let (client, addr) = (client.clone(), server.addr);
             monoio::spawn(async move { call(&client, addr).await })
         };
         // While the first call waits, a new connection answers.
-        monoio::time::sleep(WORK).await;
-        assert!(call(&client, stand_in.addr).await.is_ok());
+        monoio::time::sleep(REPLY_DELAY).await;
+        assert!(call(&client, server.addr).await.is_ok());
         assert!(lost.await.is_err());
-        assert!(call(&client, stand_in.addr).await.is_ok());
-        assert_eq!(stand_in.connections(), 2);
+        assert!(call(&client, server.addr).await.is_ok());
+        assert_eq!(server.connections(), 2);
     }
 
-    a_new_connection_without_reply_says_nothing_of_others(stand_in) {
+    a_timeout_on_a_new_connection_makes_no_other_suspect(server) {
         let client = client(None);
         let first = {
-            let (client, addr) = (client.clone(), stand_in.addr);
+            let (client, addr) = (client.clone(), server.addr);
             monoio::spawn(async move { call(&client, addr).await })
         };
-        monoio::time::sleep(WORK / 2).await;
-        // The first connection goes silent before its first reply.
-        stand_in.silence();
-        assert!(call(&client, stand_in.addr).await.is_ok());
+        monoio::time::sleep(REPLY_DELAY / 2).await;
+        // The first connection stops before its first reply.
+        server.silence_connections();
+        assert!(call(&client, server.addr).await.is_ok());
         assert!(first.await.is_err());
-        assert!(call(&client, stand_in.addr).await.is_ok());
-        assert_eq!(stand_in.connections(), 2);
+        assert!(call(&client, server.addr).await.is_ok());
+        assert_eq!(server.connections(), 2);
     }
 }
