--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,13 +1,13 @@
-//! The time of a process, the time in which its host was suspended included.
+//! A clock that counts the time in which the host was suspended.
 //!
-//! A host may be suspended for seconds. Its steady clock (`std::time::Instant`) stands still
-//! meanwhile, those of other hosts and of targets go on: a host that reckoned leases by its
-//! steady clock would go on holding them after others took them for over. The time since the
-//! host's start (`CLOCK_BOOTTIME`) goes on.
+//! While a host is suspended, its monotonic clock (`std::time::Instant`) stops, but the clocks
+//! of other hosts and of targets go on. A host that measured leases by its monotonic clock
+//! would use them after other hosts consider them expired. The time since boot
+//! (`CLOCK_BOOTTIME`) includes suspension.
 //!
-//! [`Clock`] is what a process reckons leases, deadlines and ages by; tests give it sources
-//! of their own. Timers of the runtime follow the steady clock and may fire late after a
-//! suspension: whoever they wake asks the clock.
+//! Processes measure leases, deadlines and ages by [`Clock`]; tests supply other time sources.
+//! Timers of the runtime follow the monotonic clock and may fire late after a suspension, so
+//! the code that they wake has to read this clock.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,26 +16,27 @@
 use nix::time::{clock_gettime, ClockId};
 use thiserror::Error;
 
-/// The system has no clock that goes on while the host is suspended.
+/// The error that the system lacks a clock that counts suspension.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("no clock that counts suspension: {0}")]
 pub struct ClockError(#[from] Errno);
 
-/// Reads one clock of the system.
+/// Reads a time source.
 type Source = Arc<dyn Fn() -> Duration + Send + Sync>;
 
-/// The time of a process since the clock was started. Clones show the same time.
+/// The time since the clock was started, suspension included. Clones show the same time.
 #[derive(Clone)]
 pub struct Clock {
     since_boot: Source,
-    steady: Source,
+    monotonic: Source,
     started: Duration,
-    /// How far the time since boot was ahead of the steady clock at the start.
-    ahead: Duration,
+    /// How far the time since boot was ahead of the monotonic clock at the start: the time
+    /// for which the host was suspended before.
+    initial_offset: Duration,
 }
 
 impl Clock {
-    /// Starts a clock.
+    /// Starts a clock on the system's time sources.
     ///
     /// # Errors
     ///
@@ -43,7 +44,7 @@
     pub fn start() -> Result<Self, ClockError> {
         clock_gettime(ClockId::CLOCK_BOOTTIME)?;
         clock_gettime(ClockId::CLOCK_MONOTONIC)?;
-        let read = |id| move || read_again(id);
+        let read = |id| move || read_checked_clock(id);
         let clock = Self::with_sources(
             read(ClockId::CLOCK_BOOTTIME),
             read(ClockId::CLOCK_MONOTONIC),
@@ -51,19 +52,19 @@
         Ok(clock)
     }
 
-    /// Starts a clock that reads the time since boot and the steady clock from sources of the
-    /// caller's own.
+    /// Starts a clock that reads the time since boot and the monotonic clock from the given
+    /// sources.
     pub fn with_sources(
         since_boot: impl Fn() -> Duration + Send + Sync + 'static,
-        steady: impl Fn() -> Duration + Send + Sync + 'static,
+        monotonic: impl Fn() -> Duration + Send + Sync + 'static,
     ) -> Self {
         let mut clock = Self {
             started: since_boot(),
             since_boot: Arc::new(since_boot),
-            steady: Arc::new(steady),
-            ahead: Duration::ZERO,
+            monotonic: Arc::new(monotonic),
+            initial_offset: Duration::ZERO,
         };
-        clock.ahead = clock.ahead_now();
+        clock.initial_offset = clock.offset();
         clock
     }
 
@@ -73,23 +74,23 @@
         (self.since_boot)().saturating_sub(self.started)
     }
 
-    /// Returns how long the host was suspended since the clock was started.
+    /// Returns the total time for which the host was suspended since the clock was started.
     #[must_use]
     pub fn suspended_time(&self) -> Duration {
-        self.ahead_now().saturating_sub(self.ahead)
+        self.offset().saturating_sub(self.initial_offset)
     }
 
-    /// Returns how far the time since boot is ahead of the steady clock. The steady clock is
-    /// read last: a process that doesn't run for a moment between the two isn't taken for a
-    /// suspended host.
-    fn ahead_now(&self) -> Duration {
+    /// Returns how far the time since boot is ahead of the monotonic clock. The monotonic clock
+    /// is read last, so that a process that is paused between the two reads doesn't appear to
+    /// have been suspended.
+    fn offset(&self) -> Duration {
         let since_boot = (self.since_boot)();
-        since_boot.saturating_sub((self.steady)())
+        since_boot.saturating_sub((self.monotonic)())
     }
 }
 
-/// Reads a clock that could be read before.
-fn read_again(id: ClockId) -> Duration {
+/// Reads a clock of the system that is known to exist.
+fn read_checked_clock(id: ClockId) -> Duration {
     clock_gettime(id)
         .expect("a clock that could be read once can be read again")
         .into()
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the programs of both families share: settings files, the end of a program,
-//! metrics, and questions to the task that owns a program's state.
+//! Code that the dispatcher, the entry hosts and their tools share: settings files, exit
+//! codes, metrics, and requests to the task that owns a program's state.
 //!
-//! It knows nothing of what a program decides.
+//! It contains no scheduling logic.
 
 pub mod mailbox;
 pub mod metrics;
--- a/crates/process/src/metrics.rs
+++ b/crates/process/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The registry that a program's metrics are kept in, and their text.
+//! The registry of a program's metrics, and their export in the text format of Prometheus.
 
 use gannetridge_net::HttpReply;
 use http::StatusCode;
@@ -6,24 +6,24 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// The instrumentation scope of all metrics.
+/// The OpenTelemetry instrumentation scope of all metrics.
 const SCOPE: &str = "gannetridge";
 /// The media type of the text format of Prometheus.
 const MEDIA_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Whether the page of metrics has the row `target_info`.
+/// Controls whether the exported metrics contain `target_info`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetInfo {
-    /// It has.
+    /// `target_info` is exported.
     Included,
-    /// It hasn't.
+    /// `target_info` is left out.
     Omitted,
 }
 
-/// Keeps a program's metrics.
+/// A program's metrics.
 pub struct MetricsRegistry {
     registry: Registry,
-    /// Keeps the instruments connected to the registry.
+    /// Kept alive so that instruments stay connected to the registry.
     provider: SdkMeterProvider,
 }
 
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the registry refuses the exporter.
+    /// Fails if the exporter can't be registered.
     pub fn new(target_info: TargetInfo) -> anyhow::Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone());
@@ -46,13 +46,13 @@
         Ok(Self { registry, provider })
     }
 
-    /// Returns the meter that instruments are made with.
+    /// Returns the meter that creates instruments.
     #[must_use]
     pub fn meter(&self) -> Meter {
         self.provider.meter(SCOPE)
     }
 
-    /// Writes all metrics as text.
+    /// Encodes all metrics as text.
     ///
     /// # Errors
     ///
@@ -63,7 +63,7 @@
         Ok(text)
     }
 
-    /// Returns all metrics as a reply over HTTP.
+    /// Returns all metrics as an HTTP reply.
     ///
     /// # Errors
     ///
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -1,44 +1,44 @@
-//! Reads a process's TOML settings file.
+//! Reads settings files.
 
 use std::path::Path;
 
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Why a settings file can't be used.
+/// The reason why a settings file can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("can't read {path}")]
     Read {
-        /// The file.
+        /// The file's path, as given.
         path: String,
-        /// The cause.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no TOML, has an unknown key or a wrong value.
+    /// The file isn't TOML, or a key or value doesn't fit the settings' type.
     #[error("{path}: {message}")]
     Parse {
-        /// The file.
+        /// The file's path, as given.
         path: String,
-        /// The position and what is wrong there.
+        /// The parser's message, with the position of the error.
         message: String,
     },
 }
 
-/// Reads settings; the type refuses unknown keys.
+/// Reads settings from a TOML file. Unknown keys are an error if `T` denies them.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read or doesn't fit the type.
+/// Fails if the file can't be read or doesn't fit `T`.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
-    let shown = path.display().to_string();
+    let path_text = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
-        path: shown.clone(),
+        path: path_text.clone(),
         source,
     })?;
     toml::from_str(&text).map_err(|error| SettingsError::Parse {
-        path: shown,
+        path: path_text,
         message: error.to_string(),
     })
 }
--- a/crates/process/src/start.rs
+++ b/crates/process/src/start.rs
@@ -1,4 +1,4 @@
-//! The start and the end of a program.
+//! Listening on addresses at the start of a program, and its exit code.
 
 use std::net::SocketAddr;
 use std::process::{ExitCode, Termination};
@@ -7,7 +7,7 @@
 use gannetridge_net::bind;
 use monoio::net::TcpListener;
 
-/// Returns a program's exit code, and prints why it failed if it did.
+/// Returns a program's exit code. Prints the error if the program failed.
 pub fn exit_code(program: &str, outcome: anyhow::Result<impl Termination>) -> ExitCode {
     match outcome {
         Ok(outcome) => outcome.report(),
@@ -18,7 +18,7 @@
     }
 }
 
-/// Listens on an address.
+/// Listens on an address that no other process may use at the same time.
 ///
 /// # Errors
 ///
--- a/crates/state-chart/src/lib.rs
+++ b/crates/state-chart/src/lib.rs
@@ -1,8 +1,7 @@
-//! State charts that are read from files and interpreted.
+//! State machines whose transitions are defined in TOML files.
 //!
-//! A chart names its states and events in TOML. The code names them in enums;
-//! [`Chart::parse`] checks that the two agree, so a chart can't refer to a
-//! state that the code doesn't know.
+//! A chart names its states and events as strings, the code as enums. [`Chart::parse`] checks
+//! that the chart uses only names of the enums and covers every state.
 
 use std::collections::BTreeMap;
 use std::marker::PhantomData;
@@ -10,27 +9,27 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A set of names that a chart may use for its states or events.
+/// An enum of the states or the events of a chart.
 pub trait ChartNames: Copy + 'static {
-    /// All members with their names in the chart.
+    /// All variants with their names in the chart, in the order of [`ChartNames::index`].
     const NAMES: &'static [(&'static str, Self)];
 
-    /// Returns the member's position in [`ChartNames::NAMES`].
+    /// Returns the variant's position in [`ChartNames::NAMES`].
     fn index(self) -> usize;
 }
 
-/// Declares an enum whose members carry the names that a chart uses.
+/// Declares an enum of states or events, with the name of each variant in the chart.
 #[macro_export]
 macro_rules! chart_names {
-    ($(#[$meta:meta])* $name:ident { $($(#[$doc:meta])* $member:ident = $text:literal,)+ }) => {
+    ($(#[$meta:meta])* $name:ident { $($(#[$doc:meta])* $variant:ident = $text:literal,)+ }) => {
         $(#[$meta])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum $name {
-            $($(#[$doc])* $member,)+
+            $($(#[$doc])* $variant,)+
         }
 
         impl $crate::ChartNames for $name {
-            const NAMES: &'static [(&'static str, Self)] = &[$(($text, Self::$member),)+];
+            const NAMES: &'static [(&'static str, Self)] = &[$(($text, Self::$variant),)+];
 
             fn index(self) -> usize {
                 self as usize
@@ -39,32 +38,32 @@
     };
 }
 
-/// Why a chart can't be used.
+/// The reason why a chart can't be used.
 #[derive(Debug, Error)]
 pub enum ChartError {
-    /// The file is no chart.
-    #[error("chart doesn't parse")]
+    /// The text isn't TOML, or doesn't have the form of a chart.
+    #[error("malformed chart")]
     Parse(#[from] toml::de::Error),
-    /// The chart names a state that the code doesn't know.
+    /// The chart names a state that the enum of states lacks.
     #[error("unknown state `{0}`")]
     UnknownState(String),
-    /// The chart names an event that the code doesn't know.
+    /// The chart names an event that the enum of events lacks.
     #[error("unknown event `{0}`")]
     UnknownEvent(String),
-    /// The chart doesn't say what may happen in a state.
+    /// The chart has no table of transitions for a state.
     #[error("state `{0}` is missing")]
     MissingState(&'static str),
 }
 
-/// An event that the chart doesn't allow in a state.
+/// The error that a chart has no transition for an event in a state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("chart `{chart}`: `{event}` isn't allowed in `{state}`")]
 pub struct NotAllowed {
-    /// The chart.
+    /// The chart's name.
     pub chart: String,
-    /// The state.
+    /// The state's name in the chart.
     pub state: &'static str,
-    /// The event.
+    /// The event's name in the chart.
     pub event: &'static str,
 }
 
@@ -76,39 +75,40 @@
     transitions: BTreeMap<String, BTreeMap<String, String>>,
 }
 
-/// A chart over states `S` and events `E`.
+/// A state machine with states `S` and events `E`.
 pub struct Chart<S, E> {
     name: String,
     initial: S,
+    /// The next state for each state and event, by state, then event.
     next: Vec<Option<S>>,
     events: PhantomData<E>,
 }
 
-fn member<N: ChartNames>(text: &str) -> Option<N> {
+fn variant_of<N: ChartNames>(text: &str) -> Option<N> {
     let found = N::NAMES.iter().find(|(name, _)| *name == text);
-    found.map(|(_, member)| *member)
+    found.map(|(_, variant)| *variant)
 }
 
-fn name_of<N: ChartNames>(member: N) -> &'static str {
-    N::NAMES[member.index()].0
+fn name_of<N: ChartNames>(variant: N) -> &'static str {
+    N::NAMES[variant.index()].0
 }
 
 impl<S: ChartNames, E: ChartNames> Chart<S, E> {
-    /// Reads a chart.
+    /// Parses a chart from TOML.
     ///
     /// # Errors
     ///
-    /// Fails if the text is no chart, or names states or events that `S` and
-    /// `E` don't have, or leaves a state out.
+    /// Fails if the text is malformed, names states or events that `S` and `E` lack, or has
+    /// no transitions for a state.
     pub fn parse(text: &str) -> Result<Self, ChartError> {
         let file: ChartFile = toml::from_str(text)?;
         let state =
-            |name: &str| member(name).ok_or_else(|| ChartError::UnknownState(name.to_owned()));
+            |name: &str| variant_of(name).ok_or_else(|| ChartError::UnknownState(name.to_owned()));
         let mut next = vec![None; S::NAMES.len() * E::NAMES.len()];
         for (from, events) in &file.transitions {
             let from: S = state(from)?;
             for (event, to) in events {
-                let known = member(event);
+                let known = variant_of(event);
                 let event: E = known.ok_or_else(|| ChartError::UnknownEvent(event.clone()))?;
                 next[from.index() * E::NAMES.len() + event.index()] = Some(state(to)?);
             }
@@ -126,17 +126,17 @@
         })
     }
 
-    /// Returns the state in which everything begins.
+    /// Returns the initial state.
     #[must_use]
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// Returns the state that follows.
+    /// Returns the next state after an event.
     ///
     /// # Errors
     ///
-    /// Fails if the chart doesn't allow the event in the state.
+    /// Fails if the chart has no transition for the event in the state.
     pub fn next(&self, state: S, event: E) -> Result<S, NotAllowed> {
         let next = self.next[state.index() * E::NAMES.len() + event.index()];
         next.ok_or_else(|| NotAllowed {
@@ -146,12 +146,12 @@
         })
     }
 
-    /// Moves a state on.
+    /// Replaces `state` by the next state after an event.
     ///
     /// # Panics
     ///
-    /// Panics if the chart doesn't allow the event: the code and the chart
-    /// disagree, and going on could break a promise.
+    /// Panics if the chart has no transition for the event in the state: the code contradicts
+    /// the chart, and continuing could violate a guarantee.
     pub fn advance(&self, state: &mut S, event: E) {
         match self.next(*state, event) {
             Ok(next) => *state = next,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
-//! What all messages between hosts have in common: the type of names and the
-//! encoding.
+//! The encoding of messages between hosts, and the type of names in them.
 //!
-//! The messages themselves stand with who sends them, in
-//! `gannetridge-dispatcher-core` and `gannetridge-entry-wire`.
+//! The messages themselves are defined in `gannetridge-dispatcher-core` and
+//! `gannetridge-entry-wire`.
 
 use std::sync::Arc;
 
