--- a/tests/testsuite/cluster.rs
+++ b/tests/testsuite/cluster.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and entry hosts as processes of their own.
+//! A cluster of entry hosts and stand-ins of the platform and workers, each a process.
 
 use std::fs::OpenOptions;
 use std::net::{SocketAddr, TcpListener};
@@ -10,20 +10,20 @@
 
 use crate::http::{call, Reply};
 
-/// Short times, so that takeovers don't take long.
+/// Short times, so that takeovers are quick.
 const TUNING: &str = "[tuning]\nlease-ms = 2000\nrenew-ms = 400\nheartbeat-ms = 300\nconfig-poll-ms = 300\nlist-poll-ms = 500\nlist-lag-ms = 1000\n";
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 const HOSTS_PER_HALL: usize = 2;
 const RUNNERS_PER_HALL: usize = 4;
 
-/// An entry host's process.
+/// An entry host and its process.
 pub struct Host {
     pub listen: SocketAddr,
     settings: PathBuf,
     child: Option<Child>,
 }
 
-/// Everything that one test runs.
+/// The processes of one test. Dropping it kills them.
 pub struct Cluster {
     dir: PathBuf,
     stand_ins: Vec<Child>,
@@ -32,39 +32,39 @@
     pub hosts: Vec<Host>,
 }
 
-/// Held while an address is tried and while a process is started: a process
-/// between its fork and its program has copies of all sockets, and an address
-/// that was tried at that moment would stay taken for as long.
-static FORKS: Mutex<()> = Mutex::new(());
+/// Held while an address is tested and while a process is spawned. Between fork and exec a
+/// process has copies of all sockets, so an address tested at that moment would stay bound.
+static FORK_LOCK: Mutex<()> = Mutex::new(());
 
-fn no_forks() -> MutexGuard<'static, ()> {
-    FORKS.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_forks() -> MutexGuard<'static, ()> {
+    FORK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a process while no address is being tried.
-pub fn start(command: &mut Command) -> std::io::Result<Child> {
-    let _guard = no_forks();
+/// Spawns a process while no address is being tested.
+pub fn spawn_command(command: &mut Command) -> std::io::Result<Child> {
+    let _guard = lock_forks();
     command.spawn()
 }
 
-/// Returns an address that no other test of this run gets. Ports below the
-/// system's own range, so that no outgoing connection takes one either.
+/// Returns an address that no other test of this process gets. Its port is below the
+/// system's ephemeral range, so that no outgoing connection uses it.
 fn free_address() -> SocketAddr {
-    const FIRST: u32 = 10_000;
-    const RANGE: u32 = 20_000;
-    static NEXT: AtomicU32 = AtomicU32::new(0);
+    const FIRST_PORT: u32 = 10_000;
+    const PORT_COUNT: u32 = 20_000;
+    static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
     loop {
-        let own = std::process::id().wrapping_mul(997);
-        let next = own.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-        let port = (FIRST + next % RANGE) as u16;
+        let process_offset = std::process::id().wrapping_mul(997);
+        let offset = process_offset.wrapping_add(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed));
+        let port = (FIRST_PORT + offset % PORT_COUNT) as u16;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
-        let _guard = no_forks();
+        let _guard = lock_forks();
         if TcpListener::bind(address).is_ok() {
             return address;
         }
     }
 }
 
+/// Returns the path of a program of this workspace.
 pub fn binary(name: &str) -> PathBuf {
     let mut path = std::env::current_exe().expect("this test's path");
     path.pop();
@@ -74,8 +74,8 @@
     path.join(name)
 }
 
-/// Starts a program, whose log goes to a file beside its settings.
-fn spawn(name: &str, settings: &Path) -> Child {
+/// Spawns a program with a log file beside its settings.
+fn spawn_program(name: &str, settings: &Path) -> Child {
     let log = OpenOptions::new()
         .create(true)
         .append(true)
@@ -84,11 +84,11 @@
     let mut command = Command::new(binary(name));
     command.arg("--settings").arg(settings);
     command.stderr(log).stdout(Stdio::null());
-    start(&mut command).unwrap_or_else(|e| panic!("{name}: {e}; run scripts/test.sh"))
+    spawn_command(&mut command).unwrap_or_else(|e| panic!("{name}: {e}; run scripts/test.sh"))
 }
 
 impl Cluster {
-    /// Starts everything and waits until all hosts serve.
+    /// Starts all processes and waits until all hosts serve.
     pub fn start(name: &str) -> Self {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -105,12 +105,12 @@
         };
         cluster.start_stand_ins();
         cluster.start_hosts();
-        cluster.configure();
+        cluster.write_documents();
         cluster.wait_until_serving();
         cluster
     }
 
-    fn write(&self, name: &str, text: &str) -> PathBuf {
+    fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.dir.join(name);
         std::fs::write(&path, text).expect("a writable folder");
         path
@@ -121,41 +121,43 @@
         let mut platform = format!("listen = \"{}\"\n", self.platform);
         for hall in HALLS {
             for n in 0..RUNNERS_PER_HALL {
-                let at = free_address();
+                let address = free_address();
                 let name = format!("{hall}-runner-{n}");
-                self.runners.push(at);
+                self.runners.push(address);
                 workers +=
-                    &format!("[[runners]]\nname = \"{name}\"\nlisten = \"{at}\"\nslots = 8\n");
+                    &format!("[[runners]]\nname = \"{name}\"\nlisten = \"{address}\"\nslots = 8\n");
                 platform += &format!(
-                    "[[targets]]\nname = \"{name}\"\nhall = \"{hall}\"\naddress = \"{at}\"\nslots = 8\n"
+                    "[[targets]]\nname = \"{name}\"\nhall = \"{hall}\"\naddress = \"{address}\"\nslots = 8\n"
                 );
             }
         }
-        let platform = self.write("platform.toml", &platform);
-        let workers = self.write("workers.toml", &workers);
-        self.stand_ins.push(spawn("standin-platform", &platform));
-        self.stand_ins.push(spawn("standin-workers", &workers));
+        let platform = self.write_file("platform.toml", &platform);
+        let workers = self.write_file("workers.toml", &workers);
+        self.stand_ins
+            .push(spawn_program("standin-platform", &platform));
+        self.stand_ins
+            .push(spawn_program("standin-workers", &workers));
     }
 
     fn start_hosts(&mut self) {
-        let mut places = Vec::new();
+        let mut hosts = Vec::new();
         for hall in HALLS {
             for n in 0..HOSTS_PER_HALL {
-                places.push((hall, n, free_address(), free_address()));
+                hosts.push((hall, n, free_address(), free_address()));
             }
         }
-        let all: Vec<String> = places
+        let peers: Vec<String> = hosts
             .iter()
             .map(|(.., peer)| format!("\"{peer}\""))
             .collect();
-        for (hall, n, listen, peer) in &places {
+        for (hall, n, listen, peer) in &hosts {
             let text = format!(
                 "name = \"{hall}-{n}\"\nhall = \"{hall}\"\nlisten = \"{listen}\"\npeer-listen = \"{peer}\"\nplatform = \"{}\"\npeers = [{}]\n{TUNING}",
                 self.platform,
-                all.join(", ")
+                peers.join(", ")
             );
-            let settings = self.write(&format!("{hall}-{n}.toml"), &text);
-            let child = Some(spawn("gannetridge-entry", &settings));
+            let settings = self.write_file(&format!("{hall}-{n}.toml"), &text);
+            let child = Some(spawn_program("gannetridge-entry", &settings));
             self.hosts.push(Host {
                 listen: *listen,
                 settings,
@@ -164,7 +166,7 @@
         }
     }
 
-    fn configure(&self) {
+    fn write_documents(&self) {
         let documents = [
             ("hall/hall-a", "state = \"open\"\n"),
             ("hall/hall-b", "state = \"open\"\n"),
@@ -180,7 +182,7 @@
                 let reply = call(self.hosts[0].listen, "PUT", &path, text);
                 reply.is_ok_and(|r| r.status == 200)
             };
-            wait_for("a first document", accepted);
+            wait_for("acceptance of a document", accepted);
         }
     }
 
@@ -197,12 +199,12 @@
         wait_for("shards divided evenly", || self.is_balanced());
     }
 
-    /// Tells whether each host holds its part of its hall's shards.
+    /// Returns true if each host holds half of its hall's shards.
     pub fn is_balanced(&self) -> bool {
         (0..self.hosts.len()).all(|host| self.shards_of(host) == 12)
     }
 
-    /// Counts the shards that a host says it holds.
+    /// Returns the number of shards that a host reports to hold.
     pub fn shards_of(&self, host: usize) -> usize {
         let reply = call(self.hosts[host].listen, "GET", "/v1/status", "");
         let body = reply.map(|r| r.body).unwrap_or_default();
@@ -210,13 +212,13 @@
         value["shards"].as_array().map_or(0, Vec::len)
     }
 
-    /// Counts the shards that hosts say they hold.
+    /// Returns the number of shards that all hosts report to hold.
     pub fn shards_held(&self) -> usize {
         (0..self.hosts.len()).map(|host| self.shards_of(host)).sum()
     }
 
-    /// Tasks begun by all runners, and those begun more than once.
-    pub fn begun(&self) -> (u64, u64) {
+    /// Returns the numbers of tasks that runners started, and that they started more than once.
+    pub fn started_tasks(&self) -> (u64, u64) {
         let mut sum = (0, 0);
         for runner in &self.runners {
             let reply = call(*runner, "GET", "/counts", "").expect("a running stand-in");
@@ -227,8 +229,8 @@
         sum
     }
 
-    /// Switches a fault of the platform on or off.
-    pub fn platform_faults(&self, faults: &str) {
+    /// Sets the faults of the platform's stand-in.
+    pub fn set_platform_faults(&self, faults: &str) {
         call(self.platform, "POST", "/control", faults).expect("a running stand-in");
     }
 
@@ -236,21 +238,21 @@
     pub fn signal(&self, host: usize, signal: &str) {
         let child = self.hosts[host].child.as_ref().expect("a running host");
         let id = child.id().to_string();
-        let kill = start(Command::new("kill").args([signal, &id]));
+        let kill = spawn_command(Command::new("kill").args([signal, &id]));
         let status = kill.and_then(|mut child| child.wait());
         assert!(status.expect("kill runs").success());
     }
 
-    /// Waits for a host's process to end, and tells whether it ended well.
-    pub fn ended_well(&mut self, host: usize) -> bool {
+    /// Waits for a host's process to exit. Returns true if its exit code is zero.
+    pub fn exits_successfully(&mut self, host: usize) -> bool {
         let mut child = self.hosts[host].child.take().expect("a running host");
         child.wait().expect("a child").success()
     }
 
-    /// Starts a host's process again.
+    /// Starts a new process of a host that has exited.
     pub fn restart(&mut self, host: usize) {
         let settings = self.hosts[host].settings.clone();
-        self.hosts[host].child = Some(spawn("gannetridge-entry", &settings));
+        self.hosts[host].child = Some(spawn_program("gannetridge-entry", &settings));
     }
 }
 
@@ -268,19 +270,19 @@
     }
 }
 
-/// Waits for something for half a minute at most.
-pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
+/// Waits until a condition holds. Panics after half a minute.
+pub fn wait_for(condition: &str, mut is_met: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !done() {
+    while !is_met() {
         assert!(
             started.elapsed() < Duration::from_secs(30),
-            "waited too long for {what}"
+            "timed out waiting for {condition}"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Returns this machine's time in ms.
+/// Returns the system time in ms since the Unix epoch.
 pub fn now_ms() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -288,7 +290,7 @@
     now.as_millis() as u64
 }
 
-/// Writes a submission of `tasks` tasks of `run_ms` each.
+/// Returns the body of a submission of `tasks` tasks that run for `run_ms` each.
 pub fn submission(id: &str, attempt: u32, tasks: usize, run_ms: u64) -> String {
     let task = |n| format!("{{\"input\":\"run-ms={run_ms} {n}\"}}");
     let tasks: Vec<String> = (0..tasks).map(task).collect();
@@ -298,24 +300,24 @@
     )
 }
 
-/// Submits to a host.
+/// Sends a submission to a host.
 pub fn submit(host: SocketAddr, body: &str) -> std::io::Result<Reply> {
     call(host, "POST", "/v1/submissions", body)
 }
 
-/// Sends a job to one host after the other until there is a final answer.
+/// Sends a submission to the hosts in turn until there is a final reply.
 pub fn submit_until_final(cluster: &Cluster, id: &str, tasks: usize, run_ms: u64) -> Reply {
-    let mut last = None;
+    let mut last_reply = None;
     for attempt in 0..30 {
         let host = &cluster.hosts[attempt % cluster.hosts.len()];
         let body = submission(id, attempt as u32, tasks, run_ms);
         match submit(host.listen, &body) {
             Ok(reply) if reply.status != 503 => return reply,
             other => {
-                last = Some(other);
+                last_reply = Some(other);
                 std::thread::sleep(Duration::from_millis(1_000));
             }
         }
     }
-    panic!("no final answer for {id}, but {last:?}");
+    panic!("no final reply for {id}; last: {last_reply:?}");
 }
--- a/tests/testsuite/command_lines.rs
+++ b/tests/testsuite/command_lines.rs
@@ -1,12 +1,12 @@
-//! The command line of each program, and the settings that it prints with
-//! their defaults: service files and operators' scripts hang on both.
+//! Snapshots of each program's help and of its default settings, on which service files and
+//! operators' scripts depend.
 
 use std::process::Command;
 
 use crate::cluster::binary;
 
-/// Declares tests, each a name, a program, and its subcommand if it has one.
-macro_rules! helps {
+/// Declares tests, each with a name, a program and optionally a subcommand.
+macro_rules! help_tests {
     ($($name:ident: $program:expr $(, $subcommand:expr)?;)+) => {
         $(#[test]
         fn $name() {
@@ -16,19 +16,20 @@
     };
 }
 
+/// Returns what a program prints.
 fn printed(program: &str, arguments: &[&str]) -> String {
     let out = Command::new(binary(program)).args(arguments).output();
     let out = out.unwrap_or_else(|e| panic!("{program}: {e}; run scripts/test.sh"));
     assert!(out.status.success(), "{program} {arguments:?}: {out:?}");
-    // Usages go to the standard error, settings to the standard output.
+    // Help may go to either stream; settings go to the standard output.
     let text = [out.stdout, out.stderr].concat();
     let text = String::from_utf8(text).expect("text");
     assert!(!text.is_empty(), "{program} {arguments:?} prints something");
-    // The usage begins with the path that the program was started by.
+    // The help contains the path by which the program was started.
     text.replace(&binary(program).display().to_string(), program)
 }
 
-helps! {
+help_tests! {
     help_operators: "gannetridge";
     help_operators_status: "gannetridge", "status";
     help_operators_list: "gannetridge", "list";
@@ -49,8 +50,8 @@
     help_simulator_mutants: "gannetridge-lab", "mutants";
 }
 
-/// Declares tests, each a name, a program and the least that it must be told.
-macro_rules! settings {
+/// Declares tests, each with a name, a program and its required settings.
+macro_rules! settings_tests {
     ($($name:ident: $program:expr, $settings:expr;)+) => {
         $(#[test]
         fn $name() {
@@ -65,7 +66,7 @@
     };
 }
 
-settings! {
+settings_tests! {
     settings_dispatcher: "gannetridge-dispatcher",
         r#"
         name = "host-a"
--- a/tests/testsuite/whole_path.rs
+++ b/tests/testsuite/end_to_end.rs
@@ -1,10 +1,10 @@
-//! The whole path, without failures.
+//! Submissions from the caller to the workers and back, without failures.
 
 use crate::cluster::{now_ms, submission, submit, Cluster};
 use crate::http::{call, raw};
 
 #[test]
-fn a_job_of_200_tasks_over_two_halls_is_answered_whole_and_once() {
+fn a_job_of_200_tasks_in_two_halls_returns_all_results_and_runs_each_task_once() {
     let cluster = Cluster::start("whole");
     let id = format!("hall-a.{}.big", now_ms());
     let reply = submit(cluster.hosts[0].listen, &submission(&id, 0, 200, 100)).expect("a reply");
@@ -16,24 +16,24 @@
         assert_eq!(result["index"], n);
         assert_eq!(result["output"], format!("run-ms=100 {n}"));
     }
-    assert_eq!(cluster.begun(), (200, 0));
+    assert_eq!(cluster.started_tasks(), (200, 0));
 
-    // The same again at a host of the other hall: the same answer, no start.
+    // Sent again to a host of the other hall: the same reply, and no task starts.
     let again = submission(&id, 1, 200, 100);
     let other = submit(cluster.hosts[3].listen, &again).expect("a reply");
     assert_eq!(other.body, reply.body);
-    assert_eq!(cluster.begun(), (200, 0));
+    assert_eq!(cluster.started_tasks(), (200, 0));
 
-    // Other contents under the same id: refused, with the reason.
-    let clash = submission(&id, 2, 3, 100);
-    let refused = submit(cluster.hosts[1].listen, &clash).expect("a reply");
+    // Different contents under the same id are refused, with the reason.
+    let different = submission(&id, 2, 3, 100);
+    let refused = submit(cluster.hosts[1].listen, &different).expect("a reply");
     assert_eq!(refused.status, 409);
     assert!(refused.body.contains("contents-differ"), "{}", refused.body);
-    assert_eq!(cluster.begun(), (200, 0));
+    assert_eq!(cluster.started_tasks(), (200, 0));
 }
 
 #[test]
-fn bad_requests_get_typed_errors_and_harm_nobody() {
+fn bad_requests_get_typed_errors_and_start_no_task() {
     let cluster = Cluster::start("bad");
     let host = cluster.hosts[0].listen;
     let id = |hall: &str| format!("{hall}.{}.x", now_ms());
@@ -77,10 +77,10 @@
             "created-in-future",
         ),
     ];
-    for (name, body, status, word) in cases {
+    for (name, body, status, expected) in cases {
         let reply = submit(host, &body).expect("a reply");
         assert_eq!(reply.status, status, "{name}: {}", reply.body);
-        assert!(reply.body.contains(word), "{name}: {}", reply.body);
+        assert!(reply.body.contains(expected), "{name}: {}", reply.body);
     }
     let raw_cases: [(&str, &[u8], u16); 4] = [
         (
@@ -105,7 +105,7 @@
         assert_eq!(reply.status, status, "{name}");
         assert!(reply.head.contains("application/problem+json"), "{name}");
     }
-    assert_eq!(cluster.begun(), (0, 0));
+    assert_eq!(cluster.started_tasks(), (0, 0));
     let reply = submit(host, &good).expect("a reply");
     assert_eq!(reply.status, 200, "{}", reply.body);
     let metrics = call(host, "GET", "/metrics", "").expect("a reply");
--- a/tests/testsuite/failures.rs
+++ b/tests/testsuite/failures.rs
@@ -1,4 +1,4 @@
-//! Failures that really happen to processes.
+//! Failures of processes: kills, suspension, outages of the platform, graceful shutdowns.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -21,23 +21,23 @@
         std::thread::sleep(Duration::from_millis(200));
         cluster_ref.signal(0, "-KILL");
         for job in waiting {
-            let reply = job.join().expect("a final answer");
+            let reply = job.join().expect("a final reply");
             assert!([200, 502, 504].contains(&reply.status), "{}", reply.body);
         }
     });
-    assert!(!cluster.ended_well(0));
-    assert_eq!(cluster.begun().1, 0, "no task begun twice");
-    // The survivor takes the dead host's shards over.
+    assert!(!cluster.exits_successfully(0));
+    assert_eq!(cluster.started_tasks().1, 0, "no task started twice");
+    // The other host of the hall takes over the killed host's shards.
     wait_for("a takeover", || cluster.shards_held() == 48);
     let id = format!("hall-a.{}.after", now_ms() + 400);
     assert_eq!(submit_until_final(&cluster, &id, 2, 50).status, 200);
 }
 
 #[test]
-fn a_host_frozen_past_its_ownership_starts_nothing_when_it_wakes() {
+fn a_host_suspended_beyond_its_lease_starts_no_task_when_it_resumes() {
     let cluster = Cluster::start("freeze");
     cluster.signal(0, "-STOP");
-    // Sent to the frozen host: it reads them when it wakes.
+    // The suspended host reads these once it resumes.
     let sent: Vec<_> = (0..6)
         .map(|n| {
             let id = format!("hall-a.{}.f{n}", now_ms());
@@ -52,7 +52,7 @@
         let reply = submit(cluster.hosts[1].listen, &body).expect("a reply");
         assert!(reply.status == 502 || reply.status == 200, "{}", reply.body);
     }
-    let before = cluster.begun();
+    let before = cluster.started_tasks();
     cluster.signal(0, "-CONT");
     for (id, thread) in sent {
         let reply = thread.join().expect("a thread").expect("a reply");
@@ -63,15 +63,19 @@
         );
     }
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(cluster.begun(), before, "nothing started after the wake");
+    assert_eq!(
+        cluster.started_tasks(),
+        before,
+        "started after the resumption"
+    );
     assert_eq!(before.1, 0);
 }
 
 #[test]
-fn a_platform_outage_longer_than_the_lease_stops_nothing() {
+fn jobs_complete_during_a_platform_outage_longer_than_the_lease() {
     let cluster = Cluster::start("outage");
-    cluster.platform_faults("{\"outage\":true}");
-    // Longer than a lease: from here on promises carry the rights.
+    cluster.set_platform_faults("{\"outage\":true}");
+    // Longer than a lease: from then on ownership rests on the promises of peers.
     std::thread::sleep(Duration::from_millis(5_000));
     for n in 0..8 {
         let hall = if n % 2 == 0 { "hall-a" } else { "hall-b" };
@@ -80,34 +84,34 @@
         let reply = submit(host, &submission(&id, 0, 3, 50)).expect("a reply");
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
-    cluster.platform_faults("{}");
-    assert_eq!(cluster.begun(), (24, 0));
+    cluster.set_platform_faults("{}");
+    assert_eq!(cluster.started_tasks(), (24, 0));
 }
 
 #[test]
-fn rolling_planned_stops_under_load_cut_off_nothing() {
+fn graceful_shutdowns_in_turn_under_load_interrupt_no_job() {
     let mut cluster = Cluster::start("stops");
     let done = AtomicBool::new(false);
     let complete = AtomicU64::new(0);
-    let wrong: Mutex<Vec<String>> = Mutex::default();
-    // Each loop sends to a host that is not being stopped, as behind a
-    // balancer that knows; half the shards' jobs are forwarded.
+    let unexpected: Mutex<Vec<String>> = Mutex::default();
+    // Clients send to the host that isn't being stopped, as a load balancer would do; it
+    // forwards the jobs of the other host's shards.
     for stopped in [0, 1] {
-        let steady = cluster.hosts[1 - stopped].listen;
+        let serving = cluster.hosts[1 - stopped].listen;
         std::thread::scope(|scope| {
             for client in 0..4 {
-                let (done, complete, wrong) = (&done, &complete, &wrong);
+                let (done, complete, unexpected) = (&done, &complete, &unexpected);
                 scope.spawn(move || {
                     let mut n = 0;
                     while !done.load(Ordering::Relaxed) {
                         let id = format!("hall-a.{}.s{stopped}-{client}-{n}", now_ms());
                         let body = submission(&id, 0, 2, 100);
-                        match submit(steady, &body) {
+                        match submit(serving, &body) {
                             Ok(reply) if reply.status == 200 => {
                                 complete.fetch_add(1, Ordering::Relaxed)
                             }
                             other => {
-                                wrong
+                                unexpected
                                     .lock()
                                     .expect("no holder panics")
                                     .push(format!("{other:?}"));
@@ -120,7 +124,7 @@
             }
             std::thread::sleep(Duration::from_millis(500));
             cluster.signal(stopped, "-TERM");
-            assert!(cluster.ended_well(stopped), "a planned stop ends well");
+            assert!(cluster.exits_successfully(stopped), "the shutdown succeeds");
             std::thread::sleep(Duration::from_millis(500));
             done.store(true, Ordering::Relaxed);
         });
@@ -133,10 +137,10 @@
         });
     }
     assert!(complete.load(Ordering::Relaxed) > 20);
-    let wrong = wrong.into_inner().expect("no holder panics");
+    let unexpected = unexpected.into_inner().expect("no holder panics");
     assert!(
-        wrong.is_empty(),
-        "requests not answered with results: {wrong:?}"
+        unexpected.is_empty(),
+        "requests not answered with results: {unexpected:?}"
     );
-    assert_eq!(cluster.begun().1, 0);
+    assert_eq!(cluster.started_tasks().1, 0);
 }
--- a/tests/testsuite/story.rs
+++ b/tests/testsuite/story.rs
@@ -1,11 +1,11 @@
-//! One request's way through logs.
+//! Tests of the command that prints the log lines about one request.
 
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-use crate::cluster::{binary, start};
+use crate::cluster::{binary, spawn_command};
 
-const OWNER: &str = r#"{"timestamp":"2026-01-20T22:07:31.000000Z","level":"INFO","event":"started","name":"north-1"}
+const OWNER_LOG: &str = r#"{"timestamp":"2026-01-20T22:07:31.000000Z","level":"INFO","event":"started","name":"north-1"}
 {"timestamp":"2026-01-20T22:07:40.100000Z","level":"INFO","event":"job-taken","job":"aa","queue":"turns","tasks":1}
 {"timestamp":"2026-01-20T22:07:40.200000Z","level":"INFO","event":"job-taken","job":"bb","queue":"turns","tasks":1}
 {"timestamp":"2026-01-20T22:07:40.300000Z","level":"INFO","event":"peer","peer":"north-2","state":"silent"}
@@ -13,12 +13,13 @@
 {"timestamp":"2026-01-20T22:07:40.400000Z","level":"INFO","event":"job-ended","job":"aa","cause":"deadline"}
 {"timestamp":"2026-01-20T22:07:59.000000Z","level":"INFO","event":"peer","peer":"north-2","state":"lives"}
 "#;
-const KEEPER: &str = r#"   9.0910 north-2 {"timestamp":"x","event":"started","task":"aa.0.0.0","run":1,"target":"t1","owner":"north-1"}
+const HOLDER_LOG: &str = r#"   9.0910 north-2 {"timestamp":"x","event":"started","task":"aa.0.0.0","run":1,"target":"t1","owner":"north-1"}
    9.0920 north-2 {"timestamp":"x","event":"target","target":"t1","state":"silent"}
    9.0930 north-2 {"timestamp":"x","event":"target","target":"t2","state":"silent"}
 "#;
 
-fn story(name: &str, id: &str, files: &[&str]) -> (bool, String) {
+/// Runs the command on log files. Returns true if it succeeded, and what it printed.
+fn run_story(name: &str, id: &str, files: &[&str]) -> (bool, String) {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&dir).expect("a folder");
     let mut command = Command::new(binary("gannetridge"));
@@ -29,7 +30,7 @@
         command.arg(path);
     }
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
-    let child = start(&mut command).expect("the program starts");
+    let child = spawn_command(&mut command).expect("the program starts");
     let output = child.wait_with_output().expect("its output");
     let text = String::from_utf8_lossy(&output.stdout).into_owned()
         + &String::from_utf8_lossy(&output.stderr);
@@ -37,8 +38,8 @@
 }
 
 #[test]
-fn a_request_is_followed_with_what_happened_beside_it() {
-    let (found, text) = story("followed", "aa", &[OWNER]);
+fn the_lines_of_a_request_are_printed_with_their_context() {
+    let (found, text) = run_story("followed", "aa", &[OWNER_LOG]);
     assert!(found, "{text}");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 3, "{text}");
@@ -48,9 +49,9 @@
 }
 
 #[test]
-fn lines_of_the_bench_and_clocks_that_differ_are_read() {
-    let taken = r#"   9.1000 north-1 {"event":"job-taken","job":"aa"}"#;
-    let (found, text) = story("bench", "aa", &[taken, KEEPER]);
+fn prefixed_lines_are_read_and_clock_differences_are_reported() {
+    let accepted = r#"   9.1000 north-1 {"event":"job-taken","job":"aa"}"#;
+    let (found, text) = run_story("prefixed", "aa", &[accepted, HOLDER_LOG]);
     assert!(found, "{text}");
     assert!(text.contains("t1") && !text.contains("t2"), "{text}");
     assert!(
@@ -60,8 +61,8 @@
 }
 
 #[test]
-fn a_request_that_no_log_knows_is_said_so() {
-    let (found, text) = story("unknown", "cc", &[OWNER]);
+fn a_request_without_lines_is_reported() {
+    let (found, text) = run_story("unknown", "cc", &[OWNER_LOG]);
     assert!(!found);
     assert!(text.contains("no line about cc"), "{text}");
 }
