--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -29,8 +29,8 @@
 use crate::pool::{PendingCall, Pool};
 
 /// Idle time before a TCP keepalive probe is sent, and the time in which it has to be
-/// acknowledged. One second is the kernel's minimum. It bounds long polls, which wait for a
-/// reply without an end: on a silent connection they fail after 2 s.
+/// acknowledged; one second is the kernel's minimum. Long polls on a connection that has gone
+/// silent thus fail after 2 s.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unacknowledged probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 1;
@@ -44,7 +44,7 @@
     pub head_bytes: usize,
     /// Longest accepted body of a reply, in bytes.
     pub body_bytes: usize,
-    /// Idle connections kept for each address.
+    /// Maximum number of idle connections kept for each address.
     pub idle_per_address: usize,
     /// Once a call on a reused connection has waited for its reply for this long, later
     /// calls to its address don't use idle connections that may be dead too. `None` where
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -30,12 +30,12 @@
     pub head_bytes: usize,
     /// Longest accepted body, in bytes.
     pub body_bytes: usize,
-    /// Longest time from a connection's last reply until the next request's head is
-    /// received.
+    /// Longest time from the start of a connection, or its last reply, until the head of the
+    /// next request is received.
     pub idle_timeout: Duration,
     /// Longest time from the receipt of a head to that of its body.
     pub body_timeout: Duration,
-    /// Most open connections from one IP address.
+    /// Maximum number of open connections from one IP address.
     pub connections_per_address: usize,
 }
 
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -8,7 +8,7 @@
 /// The version of the protocol between hosts, which accept messages of this version only.
 pub const PEER_PROTOCOL: u16 = 2;
 
-/// The version in the encoding of other protocol versions, whose fields go by name.
+/// The version in a message of a protocol version whose fields go by name.
 #[derive(Deserialize)]
 struct VersionOnly {
     protocol: u16,
