--- a/crates/entry-call/src/main.rs
+++ b/crates/entry-call/src/main.rs
@@ -20,13 +20,16 @@
     help: bool,
     #[options(help = "the settings file, TOML", meta = "FILE")]
     settings: Option<PathBuf>,
-    #[options(free, help = "the job, JSON; `-` reads the standard input")]
+    #[options(free, help = "the job file, JSON; `-` for the standard input")]
     job: Option<PathBuf>,
-    #[options(help = "the key of a new id; random if absent", meta = "KEY")]
+    #[options(help = "the key of the new id; random by default", meta = "KEY")]
     key: Option<String>,
-    #[options(help = "sends the job again under an id used before", meta = "ID")]
+    #[options(
+        help = "resend the job under the id of an earlier submission",
+        meta = "ID"
+    )]
     id: Option<String>,
-    #[options(no_short, help = "print the checked settings and end")]
+    #[options(no_short, help = "print the checked settings and exit")]
     print_settings: bool,
 }
 
--- a/crates/entry-standins/src/cli.rs
+++ b/crates/entry-standins/src/cli.rs
@@ -7,14 +7,14 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// A stand-in, for tests and trials.
+/// Runs a stand-in for a part of the deployment, for tests and trials.
 #[derive(Debug, Options)]
 struct Arguments {
     #[options(help = "print this help")]
     help: bool,
     #[options(help = "the settings file, TOML", meta = "FILE")]
     settings: Option<PathBuf>,
-    #[options(no_short, help = "print the checked settings and end")]
+    #[options(no_short, help = "print the checked settings and exit")]
     print_settings: bool,
 }
 
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -18,14 +18,14 @@
 use local_sync::mpsc::unbounded;
 use tracing::info;
 
-/// Serves callers as one entry host.
+/// Runs an entry host, which accepts callers' jobs.
 #[derive(Debug, Options)]
 struct Arguments {
     #[options(help = "print this help")]
     help: bool,
     #[options(help = "the settings file, TOML", meta = "FILE")]
     settings: Option<PathBuf>,
-    #[options(no_short, help = "print the checked settings and end")]
+    #[options(no_short, help = "print the checked settings and exit")]
     print_settings: bool,
 }
 
--- a/crates/lab/src/account/jobs.rs
+++ b/crates/lab/src/account/jobs.rs
@@ -182,7 +182,7 @@
     task.split('.').next().unwrap_or_default().to_owned()
 }
 
-/// Returns a whole number; 0 if the line has none, as in logs of other versions.
+/// Returns a field as an integer; 0 if the line lacks it, as in logs of other versions.
 fn integer_field(line: &Line, field: &str) -> i64 {
     line.number(field).unwrap_or(0.0) as i64
 }
--- a/crates/lab/src/account/outcome.rs
+++ b/crates/lab/src/account/outcome.rs
@@ -62,14 +62,14 @@
             Self::LastTasksWaited => "last tasks waited",
             Self::PassedOver => "passed over",
             Self::RefusedOnArrival => "refused on arrival",
-            Self::Retried => "a task ran again",
+            Self::Retried => "a task was retried",
             Self::SlowTarget => "slow target",
             Self::TargetLost => "target hung or lost",
-            Self::PeerLost => "peer fell silent",
+            Self::PeerLost => "peer stopped answering",
             Self::HostLost => "host lost",
             Self::HostStopping => "host stopping",
             Self::CallerGone => "caller gone",
-            Self::RanTooLong => "ran long",
+            Self::RanTooLong => "ran too long",
         })
     }
 }
--- a/crates/lab/src/cmd/account.rs
+++ b/crates/lab/src/cmd/account.rs
@@ -9,7 +9,7 @@
 use crate::account::tally::Tally;
 use crate::account::{capacity, jobs, plot};
 
-/// Options of `account`.
+/// Reports the outcomes of jobs from hosts' logs.
 #[derive(Debug, Options)]
 pub struct Account {
     #[options(help = "print this help")]
@@ -25,7 +25,7 @@
     window_ms: i64,
     #[options(
         no_short,
-        help = "the latency that callers see in addition to a host's time, in ms",
+        help = "the latency added to each job's time at its host, in ms",
         default = "7",
         meta = "N"
     )]
@@ -41,7 +41,7 @@
 /// Fails if the window isn't above 0, a log can't be read, or the SVG file can't be drawn.
 pub fn run(options: &Account) -> anyhow::Result<()> {
     if options.window_ms <= 0 {
-        bail!("--window-ms has to be above 0");
+        bail!("--window-ms must be greater than 0");
     }
     let mut lines: Vec<Line> = Vec::new();
     for path in &options.files {
--- a/crates/lab/src/cmd/chaos.rs
+++ b/crates/lab/src/cmd/chaos.rs
@@ -8,18 +8,18 @@
 use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
-/// Options of `chaos`.
+/// Simulates entry hosts with random faults and checks their guarantees.
 #[derive(Debug, Options)]
 pub struct Chaos {
     #[options(help = "print this help")]
     help: bool,
     #[options(help = "the first seed", default = "1", meta = "N")]
     seed: u64,
-    #[options(no_short, help = "how many seeds", default = "1", meta = "N")]
+    #[options(no_short, help = "the number of seeds", default = "1", meta = "N")]
     seeds: u64,
     #[options(
         no_short,
-        help = "how long jobs and faults come, in ms",
+        help = "how long jobs are submitted and faults injected, in ms",
         default = "60000",
         meta = "N"
     )]
@@ -28,9 +28,9 @@
 
 /// The totals of all seeds.
 #[derive(Default)]
-struct Sum {
+struct Totals {
     events: u64,
-    started: u64,
+    tasks_started: u64,
     jobs: u64,
     complete: u64,
     failed: u64,
@@ -54,58 +54,59 @@
     let runs = map(&seeds, |seed| {
         run_catching_panics(*seed, load_ms, Safeguards::default())
     });
-    let mut sum = Sum::default();
+    let mut totals = Totals::default();
     for (seed, run) in seeds.iter().zip(runs) {
         let (report, checks) = match run {
             Ok(run) => run,
             Err(message) => {
-                println!("seed {seed}: invariant of the core: {message}");
-                *sum.violations.entry("panic".to_owned()).or_default() += 1;
-                sum.failed_seeds.push(*seed);
+                println!("seed {seed}: panicked: {message}");
+                *totals.violations.entry("panic".to_owned()).or_default() += 1;
+                totals.failed_seeds.push(*seed);
                 continue;
             }
         };
         if !checks.violations.is_empty() {
-            sum.failed_seeds.push(*seed);
+            totals.failed_seeds.push(*seed);
             println!("seed {seed}: {}", checks.violations[0]);
         }
         let total = report.total();
-        sum.events += report.events;
-        sum.started += report.tasks_started;
-        sum.jobs += total.jobs;
-        sum.complete += total.complete;
-        sum.failed += total.failed;
-        sum.refused += total.refused;
-        sum.differing += report.differing;
-        add(&mut sum.faults, &report.faults);
-        add(&mut sum.changes, &report.changes);
-        add(&mut sum.causes, &report.causes);
-        add(&mut sum.violations, checks.counts());
+        totals.events += report.events;
+        totals.tasks_started += report.tasks_started;
+        totals.jobs += total.jobs;
+        totals.complete += total.complete;
+        totals.failed += total.failed;
+        totals.refused += total.refused;
+        totals.differing += report.differing;
+        add_counts(&mut totals.faults, &report.faults);
+        add_counts(&mut totals.changes, &report.changes);
+        add_counts(&mut totals.causes, &report.causes);
+        add_counts(&mut totals.violations, checks.counts());
     }
-    print(&sum, seeds.len());
-    if !sum.failed_seeds.is_empty() {
-        bail!("rules broken with seeds {:?}", sum.failed_seeds);
+    print_totals(&totals, seeds.len());
+    if !totals.failed_seeds.is_empty() {
+        bail!("violations with seeds {:?}", totals.failed_seeds);
     }
     Ok(())
 }
 
-fn add<K: Ord + Clone>(sum: &mut BTreeMap<K, u64>, part: &BTreeMap<K, u64>) {
-    for (key, count) in part {
-        *sum.entry(key.clone()).or_default() += count;
+/// Adds the counts of one seed to the totals.
+fn add_counts<K: Ord + Clone>(totals: &mut BTreeMap<K, u64>, counts: &BTreeMap<K, u64>) {
+    for (key, count) in counts {
+        *totals.entry(key.clone()).or_default() += count;
     }
 }
 
-fn print(sum: &Sum, seeds: usize) {
+fn print_totals(totals: &Totals, seeds: usize) {
     println!(
         "seeds {seeds}, events {}, tasks started {}",
-        sum.events, sum.started
+        totals.events, totals.tasks_started
     );
     println!(
         "jobs {}, complete {}, failed {}, requests refused {}, differing final answers {}",
-        sum.jobs, sum.complete, sum.failed, sum.refused, sum.differing
+        totals.jobs, totals.complete, totals.failed, totals.refused, totals.differing
     );
-    println!("faults: {:?}", sum.faults);
-    println!("operators' changes: {:?}", sum.changes);
-    println!("failures: {:?}", sum.causes);
-    println!("violations: {:?}", sum.violations);
+    println!("faults: {:?}", totals.faults);
+    println!("operators' changes: {:?}", totals.changes);
+    println!("failures: {:?}", totals.causes);
+    println!("violations: {:?}", totals.violations);
 }
--- a/crates/lab/src/cmd/dispatch.rs
+++ b/crates/lab/src/cmd/dispatch.rs
@@ -9,69 +9,79 @@
 use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
-/// Options of `dispatch`.
+/// Simulates dispatcher hosts with random faults and checks their guarantees.
 #[derive(Debug, Options)]
 pub struct Dispatch {
     #[options(help = "print this help")]
     help: bool,
     #[options(help = "the first seed", default = "1", meta = "N")]
     seed: u64,
-    #[options(no_short, help = "how many seeds", default = "1", meta = "N")]
+    #[options(no_short, help = "the number of seeds", default = "1", meta = "N")]
     seeds: u64,
     #[options(
         no_short,
-        help = "how long jobs and faults come, in ms",
+        help = "how long jobs are submitted and faults injected, in ms",
         default = "40000",
         meta = "N"
     )]
     load_ms: u64,
     #[options(
         no_short,
-        help = "hosts in each of three halls",
+        help = "the number of hosts in each of the three halls",
         default = "2",
         meta = "N"
     )]
     hosts: usize,
-    #[options(no_short, help = "targets in each hall", default = "4", meta = "N")]
+    #[options(
+        no_short,
+        help = "the number of targets in each hall",
+        default = "4",
+        meta = "N"
+    )]
     targets: usize,
-    #[options(no_short, help = "jobs a second", default = "30", meta = "N")]
+    #[options(
+        no_short,
+        help = "the mean number of jobs submitted per second",
+        default = "30",
+        meta = "N"
+    )]
     rate: f64,
     #[options(
         no_short,
-        help = "the mean pause between faults in ms, 0 for none",
+        help = "the mean interval between faults, in ms; 0 for none",
         default = "1500",
         meta = "N"
     )]
     fault_gap_ms: u64,
     #[options(
         no_short,
-        help = "the mean pause in ms between times at which halls are drained, 0 for none",
+        help = "the mean interval between drains of halls, in ms; 0 for none",
         default = "4000",
         meta = "N"
     )]
     drain_gap_ms: u64,
     #[options(
         no_short,
-        help = "the mean pause in ms between targets that start again under their id, 0 for none",
+        help = "the mean interval between crashes of targets that restart under their id, in ms; 0 for none",
         default = "0",
         meta = "N"
     )]
     restart_gap_ms: u64,
     #[options(
         no_short,
-        help = "let tasks wait at the holders of targets, not at their owners"
+        help = "queue tasks at the holders of targets instead of at the owners of jobs"
     )]
     wait_at_holder: bool,
     #[options(no_short, help = "order waiting tasks by urgency and shares")]
     shares: bool,
     #[options(
         no_short,
-        help = "the first task of one of so many jobs crashes its targets, 0 for none",
+        help = "in one of N jobs, the first task crashes each target that starts it; 0 for none",
         default = "0",
         meta = "N"
     )]
     one_bad_of: u64,
-    #[options(no_short, help = "print what hosts note and which faults strike")]
+    #[options(no_short, help = "print hosts' decisions, calls to targets and faults")]
     verbose: bool,
 }
 
@@ -110,15 +120,15 @@
             ..Scenario::new(*seed)
         })
     });
-    let mut sum = Outcome::default();
+    let mut totals = Outcome::default();
     let mut rules: BTreeMap<Rule, u64> = BTreeMap::new();
     let mut failed_seeds = Vec::new();
     for (seed, outcome) in seeds.iter().zip(&outcomes) {
-        sum.events += outcome.events;
-        sum.starts += outcome.starts;
-        sum.jobs += outcome.jobs;
-        add(&mut sum.answers, &outcome.answers);
-        add(&mut sum.faults, &outcome.faults);
+        totals.events += outcome.events;
+        totals.starts += outcome.starts;
+        totals.jobs += outcome.jobs;
+        add_counts(&mut totals.answers, &outcome.answers);
+        add_counts(&mut totals.faults, &outcome.faults);
         for violation in &outcome.violations {
             *rules.entry(violation.rule).or_default() += 1;
         }
@@ -130,21 +140,22 @@
     println!(
         "seeds {}, events {}, starts {}, jobs {}",
         seeds.len(),
-        sum.events,
-        sum.starts,
-        sum.jobs
+        totals.events,
+        totals.starts,
+        totals.jobs
     );
-    println!("answers: {:?}", sum.answers);
-    println!("faults: {:?}", sum.faults);
+    println!("answers: {:?}", totals.answers);
+    println!("faults: {:?}", totals.faults);
     println!("violations: {rules:?}");
     if !failed_seeds.is_empty() {
-        bail!("rules broken with seeds {failed_seeds:?}");
+        bail!("violations with seeds {failed_seeds:?}");
     }
     Ok(())
 }
 
-fn add(sum: &mut BTreeMap<&'static str, u64>, part: &BTreeMap<&'static str, u64>) {
-    for (key, count) in part {
-        *sum.entry(key).or_default() += count;
+/// Adds the counts of one seed to the totals.
+fn add_counts(totals: &mut BTreeMap<&'static str, u64>, counts: &BTreeMap<&'static str, u64>) {
+    for (key, count) in counts {
+        *totals.entry(key).or_default() += count;
     }
 }
--- a/crates/lab/src/cmd/mutants.rs
+++ b/crates/lab/src/cmd/mutants.rs
@@ -1,4 +1,4 @@
-//! `gannetridge-lab mutants`: disables safety mechanisms of the entry host, one at a time.
+//! `gannetridge-lab mutants`: disables safeguards of entry hosts, one at a time.
 
 use anyhow::bail;
 use gannetridge_entry_core::Safeguards;
@@ -7,30 +7,35 @@
 use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
-/// Options of `mutants`.
+/// Disables one safeguard of entry hosts at a time and checks that the simulation detects it.
 #[derive(Debug, Options)]
 pub struct Mutants {
     #[options(help = "print this help")]
     help: bool,
     #[options(help = "the first seed", default = "1", meta = "N")]
     seed: u64,
-    #[options(no_short, help = "most seeds to try", default = "200", meta = "N")]
+    #[options(
+        no_short,
+        help = "the most seeds for each safeguard, rounded up to a multiple of 16",
+        default = "200",
+        meta = "N"
+    )]
     seeds: u64,
     #[options(
         no_short,
-        help = "how long jobs and faults come, in ms",
+        help = "how long jobs are submitted and faults injected, in ms",
         default = "60000",
         meta = "N"
     )]
     load_ms: u64,
 }
 
-/// Runs seeds with each mechanism disabled until a check detects it, and prints the number of
+/// Runs seeds with each safeguard disabled until a check detects it, and prints the number of
 /// events until then.
 ///
 /// # Errors
 ///
-/// Fails if a disabled mechanism stays undetected.
+/// Fails if a disabled safeguard stays undetected.
 pub fn run(options: &Mutants) -> anyhow::Result<()> {
     let mut undetected = Vec::new();
     println!("| missing | found after events | seed | by |");
@@ -53,12 +58,12 @@
         }
     }
     if !undetected.is_empty() {
-        bail!("not found: {undetected:?}");
+        bail!("not detected: {undetected:?}");
     }
     Ok(())
 }
 
-/// The result of running seeds with a mechanism disabled.
+/// The result of running seeds with a safeguard disabled.
 enum SearchResult {
     Detected {
         events: u64,
@@ -70,7 +75,7 @@
     },
 }
 
-/// Runs seeds in parallel batches until a check detects the disabled mechanism.
+/// Runs seeds in parallel batches until a check detects the disabled safeguard.
 fn search(options: &Mutants, safeguards: Safeguards) -> SearchResult {
     const SEEDS_PER_BATCH: u64 = 16;
     let mut events = 0;
--- a/crates/lab/src/cmd/placement.rs
+++ b/crates/lab/src/cmd/placement.rs
@@ -11,7 +11,7 @@
 use crate::placement::table::Table;
 use crate::placement::traffic::Traffic;
 
-/// Options of `placement`.
+/// Reports the placement of tasks and the idle times of targets from hosts' logs.
 #[derive(Debug, Options)]
 pub struct Placement {
     #[options(help = "print this help")]
@@ -27,7 +27,7 @@
     window_ms: i64,
     #[options(
         no_short,
-        help = "the latency that callers see in addition to a host's time, in ms",
+        help = "the latency added to each job's time at its host, in ms",
         default = "7",
         meta = "N"
     )]
@@ -41,7 +41,7 @@
 /// Fails if the window isn't above 0 or a log can't be read.
 pub fn run(options: &Placement) -> anyhow::Result<()> {
     if options.window_ms <= 0 {
-        bail!("--window-ms has to be above 0");
+        bail!("--window-ms must be greater than 0");
     }
     let mut lines: Vec<Line> = Vec::new();
     for path in &options.files {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -21,20 +21,22 @@
 /// A subcommand.
 #[derive(Debug, Options)]
 enum Command {
-    /// Outcomes of jobs, from hosts' logs.
-    #[options(help = "outcomes of jobs, from the logs of their hosts")]
+    /// Reports the outcomes of jobs.
+    #[options(help = "report the outcomes of jobs from hosts' logs")]
     Account(cmd::account::Account),
-    /// Randomised runs of the entry host.
-    #[options(help = "randomised runs of the entry host with every fault")]
+    /// Simulates entry hosts.
+    #[options(help = "simulate entry hosts with random faults")]
     Chaos(cmd::chaos::Chaos),
-    /// Randomised runs of the dispatcher.
-    #[options(help = "randomised runs of the dispatcher with every fault")]
+    /// Simulates dispatcher hosts.
+    #[options(help = "simulate dispatcher hosts with random faults")]
     Dispatch(cmd::dispatch::Dispatch),
-    /// Disables one safety mechanism at a time, and checks that the checks detect it.
-    #[options(help = "show that the checks detect disabled mechanisms of the entry host")]
+    /// Disables one safeguard at a time and runs the simulation until it detects that.
+    #[options(help = "check that the simulation detects disabled safeguards of entry hosts")]
     Mutants(cmd::mutants::Mutants),
-    /// Placement of tasks and waiting times, from hosts' logs.
-    #[options(help = "placement of tasks and waiting times, from the logs of the hosts")]
+    /// Reports the placement of tasks.
+    #[options(
+        help = "report the placement of tasks and the idle times of targets from hosts' logs"
+    )]
     Placement(cmd::placement::Placement),
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -20,7 +20,7 @@
     help: bool,
     #[options(help = "the settings file, TOML", meta = "FILE")]
     settings: Option<PathBuf>,
-    #[options(no_short, help = "print the checked settings and end")]
+    #[options(no_short, help = "print the checked settings and exit")]
     print_settings: bool,
     #[options(command)]
     command: Option<cmd::Command>,
