--- a/crates/entry-standins/src/bin/standin-workers.rs
+++ b/crates/entry-standins/src/bin/standin-workers.rs
@@ -15,7 +15,8 @@
 async fn run(settings: WorkersSettings) -> anyhow::Result<()> {
     let mut servers = Vec::new();
     for runner in settings.runners {
-        let listener = bind(runner.listen).with_context(|| runner.name.to_string())?;
+        let listener = bind(runner.listen)
+            .with_context(|| format!("can't listen for runner {}", runner.name))?;
         let runner_server = RunnerServer::new(runner.slots);
         let limits = ServerLimits::default();
         let server = serve(listener, limits, move |req| {
--- a/crates/lab/src/account/capacity.rs
+++ b/crates/lab/src/account/capacity.rs
@@ -50,7 +50,7 @@
     let mut windows: BTreeMap<i64, Window> = BTreeMap::new();
     for job in jobs {
         let window = windows
-            .entry(job.accepted.div_euclid(window_ms))
+            .entry(job.accepted_ms.div_euclid(window_ms))
             .or_default();
         window.requested_ms += total_work_ms(job);
     }
@@ -109,11 +109,11 @@
             let Some(took_ms) = normal_duration_ms(job, attempt) else {
                 continue;
             };
-            let end = attempt.started + took_ms;
-            for at in attempt.started.div_euclid(window_ms)..=end.div_euclid(window_ms) {
+            let end = attempt.started_ms + took_ms;
+            for at in attempt.started_ms.div_euclid(window_ms)..=end.div_euclid(window_ms) {
                 let window = windows.entry(at).or_default();
                 let (from, until) = (at * window_ms, (at + 1) * window_ms);
-                window.ran_ms += end.min(until) - attempt.started.max(from);
+                window.ran_ms += end.min(until) - attempt.started_ms.max(from);
                 window.targets.insert(&attempt.target);
             }
         }
--- a/crates/lab/src/account/jobs.rs
+++ b/crates/lab/src/account/jobs.rs
@@ -16,7 +16,7 @@
     /// The hall of that host; empty if no line names it.
     pub holder_hall: String,
     /// When its start was sent, in ms of the logs' time.
-    pub started: i64,
+    pub started_ms: i64,
     /// Its end, if one was logged.
     pub end: Option<AttemptEnd>,
 }
@@ -49,7 +49,7 @@
     /// The hall of that host; empty if no line names it.
     pub hall: String,
     /// When it was accepted, in ms of the logs' time.
-    pub accepted: i64,
+    pub accepted_ms: i64,
     /// The number of its tasks.
     pub tasks: usize,
     /// Its latency objective by its estimates, in ms.
@@ -77,7 +77,7 @@
         collector.handle_line(line);
     }
     let mut jobs: Vec<Job> = collector.jobs.into_values().collect();
-    jobs.sort_by_key(|job| job.accepted);
+    jobs.sort_by_key(|job| job.accepted_ms);
     jobs
 }
 
@@ -130,7 +130,7 @@
             host: line.host.clone(),
             queue: line.text("queue").to_owned(),
             hall: hall.unwrap_or_default(),
-            accepted: line.time_ms,
+            accepted_ms: line.time_ms,
             tasks: integer_field(line, "tasks") as usize,
             objective_ms: line.number("aim_ms").unwrap_or(0.0),
             critical_path_ms: line.number("chain_ms").unwrap_or(0.0),
@@ -156,7 +156,7 @@
             target: line.text("target").to_owned(),
             holder: line.host.clone(),
             holder_hall: holder_hall.unwrap_or_default(),
-            started: line.time_ms,
+            started_ms: line.time_ms,
             end: None,
         });
     }
--- a/crates/lab/src/account/outcome.rs
+++ b/crates/lab/src/account/outcome.rs
@@ -138,7 +138,7 @@
     let waits = job
         .attempts
         .iter()
-        .map(|a| (a.started - job.accepted) as f64);
+        .map(|a| (a.started_ms - job.accepted_ms) as f64);
     let first_wait = waits.clone().fold(f64::INFINITY, f64::min);
     let last_wait = waits.fold(0.0, f64::max);
     let max_wait_ms = MAX_WAIT_SHARE * (objective_ms - actual_ms).max(0.0);
--- a/crates/lab/src/account/tally.rs
+++ b/crates/lab/src/account/tally.rs
@@ -116,7 +116,7 @@
         };
         for job in jobs {
             let outcome = classify(job, added_latency_ms);
-            let at = job.accepted.div_euclid(window_ms);
+            let at = job.accepted_ms.div_euclid(window_ms);
             tally.all.add(outcome);
             tally.windows.entry(at).or_default().counts.add(outcome);
             tally
--- a/crates/lab/src/placement/gaps.rs
+++ b/crates/lab/src/placement/gaps.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Gap {
     /// When the attempt ended, in ms of the logs' time.
-    pub from: i64,
+    pub start_ms: i64,
     /// The time until the next start, in ms.
     pub duration_ms: i64,
     /// One task waited throughout the gap.
@@ -44,7 +44,7 @@
             };
             let mut queues = runs.queues.iter().filter_map(|queue| waiting.get(queue));
             gaps.push(Gap {
-                from,
+                start_ms: from,
                 duration_ms: until - from,
                 while_waiting: queues.any(|spans| spans.covers(from, *until)),
             });
@@ -60,7 +60,7 @@
         for attempt in &job.attempts {
             let runs = targets.entry(&attempt.target).or_default();
             runs.queues.insert(&job.queue);
-            runs.starts.push(attempt.started);
+            runs.starts.push(attempt.started_ms);
             runs.ends.extend(end_time(attempt));
         }
     }
@@ -73,7 +73,7 @@
 /// Returns when an attempt ended, in ms of the logs' time.
 fn end_time(attempt: &Attempt) -> Option<i64> {
     let end = attempt.end.as_ref()?;
-    Some(attempt.started + end.took_ms)
+    Some(attempt.started_ms + end.took_ms)
 }
 
 /// The spans of time in which tasks of one queue waited.
@@ -108,9 +108,9 @@
     for job in jobs {
         let spans = &mut queues.entry(&job.queue).or_default().spans;
         let started = job.attempts.iter();
-        spans.extend(started.map(|attempt| (waiting_since(job, attempt), attempt.started)));
+        spans.extend(started.map(|attempt| (waiting_since(job, attempt), attempt.started_ms)));
         if let (true, Some(end)) = (job.attempts.is_empty(), &job.end) {
-            spans.push((job.accepted, job.accepted + end.took_ms));
+            spans.push((job.accepted_ms, job.accepted_ms + end.took_ms));
         }
     }
     queues.values_mut().for_each(WaitingSpans::sort);
@@ -120,6 +120,6 @@
 /// Returns from when on an attempt's task waited.
 fn waiting_since(job: &Job, attempt: &Attempt) -> i64 {
     let ends = job.attempts.iter().filter_map(end_time);
-    let earlier_ends = ends.filter(|end| *end <= attempt.started);
-    earlier_ends.fold(job.accepted, i64::max)
+    let earlier_ends = ends.filter(|end| *end <= attempt.started_ms);
+    earlier_ends.fold(job.accepted_ms, i64::max)
 }
--- a/crates/lab/src/placement/table.rs
+++ b/crates/lab/src/placement/table.rs
@@ -137,7 +137,7 @@
         }
         let mut by_window: BTreeMap<i64, Vec<&Gap>> = BTreeMap::new();
         for gap in gaps {
-            let window = gap.from.div_euclid(window_ms);
+            let window = gap.start_ms.div_euclid(window_ms);
             by_window.entry(window).or_default().push(gap);
         }
         for (window, gaps) in by_window {
@@ -147,7 +147,7 @@
     }
 
     fn add_job(&mut self, job: &Job, outcome: Outcome) {
-        let window = job.accepted.div_euclid(self.window_ms);
+        let window = job.accepted_ms.div_euclid(self.window_ms);
         let queue = self.queues.entry(job.queue.clone()).or_default();
         let hall = self.halls.entry(job.hall.clone()).or_default();
         let host = self.hosts.entry(job.host.clone()).or_default();
