--- a/crates/entry-core/src/action.rs
+++ b/crates/entry-core/src/action.rs
@@ -1,45 +1,45 @@
-//! Actions that a [`Host`](crate::Host) asks its environment to perform, and the notes
-//! that it emits for logs and metrics.
+//! Actions that a [`Host`](crate::Host) asks its environment to perform, and the telemetry
+//! events that it emits for logs and metrics.
 
 use gannetridge_entry_config::Urgency;
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_entry_wire::platform::TableOp;
-use gannetridge_entry_wire::target::{AskTask, StartTask};
+use gannetridge_entry_wire::target::{StartTask, TaskQuery};
 use gannetridge_entry_wire::Answer;
 use gannetridge_wire::Name;
 
-use crate::event::{CallId, ChangeAnswer, Token};
+use crate::event::{CallId, ChangeAnswer, RequestToken};
 
 /// A kind of message that didn't contribute to an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Waste {
+pub enum WastedMessage {
     /// A target refused a start.
-    Bounced,
+    StartRefused,
     /// A request to a target or a peer got no usable reply.
     Lost,
     /// A target was queried about a run.
-    AskedAgain,
+    RunQueried,
     /// A submission was forwarded to a host that doesn't hold its shard.
     Misrouted,
     /// A borrow request brought no slots.
-    BorrowedInVain,
+    NothingLent,
     /// All slots of a loan were returned unused.
-    LentInVain,
+    LoanUnused,
     /// A submission that the ledger knows was received again.
     Resubmitted,
     /// A task's result came after its job had ended.
     Late,
 }
 
-impl Waste {
+impl WastedMessage {
     /// All kinds, in the order of their declaration.
     pub const ALL: [Self; 8] = [
-        Self::Bounced,
+        Self::StartRefused,
         Self::Lost,
-        Self::AskedAgain,
+        Self::RunQueried,
         Self::Misrouted,
-        Self::BorrowedInVain,
-        Self::LentInVain,
+        Self::NothingLent,
+        Self::LoanUnused,
         Self::Resubmitted,
         Self::Late,
     ];
@@ -48,12 +48,12 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Bounced => "bounced",
+            Self::StartRefused => "bounced",
             Self::Lost => "lost",
-            Self::AskedAgain => "asked-again",
+            Self::RunQueried => "asked-again",
             Self::Misrouted => "misrouted",
-            Self::BorrowedInVain => "borrowed-in-vain",
-            Self::LentInVain => "lent-in-vain",
+            Self::NothingLent => "borrowed-in-vain",
+            Self::LoanUnused => "lent-in-vain",
             Self::Resubmitted => "resubmitted",
             Self::Late => "late",
         }
@@ -62,7 +62,7 @@
 
 /// An occurrence to be counted in metrics or written to the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum TelemetryEvent {
     /// A job ended with a final answer.
     Finished {
         /// The client account.
@@ -82,7 +82,7 @@
         account: Name,
     },
     /// A message didn't contribute to an answer.
-    Wasted(Waste),
+    Wasted(WastedMessage),
     /// This host acquired a shard.
     ShardAcquired {
         /// The shard's index within the hall.
@@ -108,14 +108,14 @@
     /// Answer a caller.
     Answer {
         /// Identifies the caller's request.
-        token: Token,
+        token: RequestToken,
         /// The answer to send.
         answer: Answer,
     },
     /// Reply to a peer.
     Reply {
         /// Identifies the peer's request.
-        token: Token,
+        token: RequestToken,
         /// The reply to send.
         reply: PeerReply,
     },
@@ -144,13 +144,13 @@
         wait_ms: u64,
     },
     /// Query a target about a task.
-    Ask {
+    Query {
         /// Identifies the call in its [`TaskReply`](crate::Event::TaskReply).
         call: CallId,
         /// The target's address, `ip:port`.
         address: Name,
         /// The query to send.
-        ask: AskTask,
+        query: TaskQuery,
         /// The timeout for the reply, in ms.
         wait_ms: u64,
     },
@@ -169,12 +169,12 @@
     /// Answer an operator's change request.
     ChangeAnswer {
         /// Identifies the operator's request.
-        token: Token,
+        token: RequestToken,
         /// The answer to send.
         answer: ChangeAnswer,
     },
     /// Count or log an occurrence.
-    Note(Note),
+    Telemetry(TelemetryEvent),
     /// The host has shut down; the process may exit.
     Stopped,
 }
--- a/crates/entry-core/src/event.rs
+++ b/crates/entry-core/src/event.rs
@@ -9,7 +9,7 @@
 
 /// Identifies a received request that the host has to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct RequestToken(pub u64);
 
 /// Identifies a request that the host sends, to match it with its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -64,14 +64,14 @@
     /// A caller sent a submission.
     Submit {
         /// Identifies the request in its answer.
-        token: Token,
+        token: RequestToken,
         /// The submission as received.
         submission: Submission,
     },
     /// A peer sent a request.
     Peer {
         /// Identifies the request in its reply.
-        token: Token,
+        token: RequestToken,
         /// The request as received.
         request: PeerRequest,
     },
@@ -101,7 +101,7 @@
     /// An operator requests a change.
     Change {
         /// Identifies the request in its answer.
-        token: Token,
+        token: RequestToken,
         /// The requested change.
         change: ChangeRequest,
     },
--- a/crates/entry-core/src/host/borrow.rs
+++ b/crates/entry-core/src/host/borrow.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use gannetridge_entry_wire::peer::{Grant, PeerReply, PeerRequest, Spare};
+use gannetridge_entry_wire::peer::{Grant, LendableSlots, PeerReply, PeerRequest};
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 use rand::Rng;
@@ -10,7 +10,7 @@
 use super::calls::CallPurpose;
 use super::timers::Timer;
 use super::Host;
-use crate::action::Waste;
+use crate::action::WastedMessage;
 use crate::event::SendFailure;
 use crate::loans::LoanKey;
 use crate::settings::Placement;
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct LenderState {
     /// The slots that the peer last reported as available.
-    pub(super) spare: Spare,
+    pub(super) lendable: LendableSlots,
     /// The number of slots expected from the borrow request in progress, if there is one.
     expected_slots: Option<u32>,
     /// No request goes to the peer before this time unless it reports free slots.
@@ -46,7 +46,7 @@
 impl Default for LenderState {
     fn default() -> Self {
         Self {
-            spare: Spare::default(),
+            lendable: LendableSlots::default(),
             expected_slots: None,
             not_before: Time::ZERO,
             backoff_ms: FIRST_BACKOFF_MS,
@@ -56,13 +56,13 @@
 
 impl LenderState {
     /// Records the slots that the peer reports as available.
-    pub(super) fn update(&mut self, spare: Spare) {
-        self.spare = spare;
+    pub(super) fn update(&mut self, lendable: LendableSlots) {
+        self.lendable = lendable;
     }
 
     /// Records that the peer couldn't be reached.
     pub(super) fn mark_unreachable(&mut self) {
-        self.spare = Spare::default();
+        self.lendable = LendableSlots::default();
     }
 
     /// Records that a request brought nothing, and doubles the wait before the next.
@@ -79,7 +79,7 @@
             return 0;
         }
         let allowed = self.peers.values().filter(|p| halls.contains(&p.hall));
-        allowed.map(|p| p.lender.spare.free).sum()
+        allowed.map(|p| p.lender.lendable.free).sum()
     }
 
     /// Returns an equal part of the usable slots of some halls per known host. Used by a
@@ -123,18 +123,18 @@
                 continue;
             }
             let remote = peer.hall != self.settings.hall;
-            let spare = peer.lender.spare;
+            let lendable = peer.lender.lendable;
             let free = if over_quota {
-                spare.surplus
+                lendable.surplus
             } else {
-                spare.free
+                lendable.free
             };
             if free > 0 {
                 known.push((remote, u32::MAX - free, address.clone()));
-            } else if !over_quota && !spare.waits && self.now >= peer.lender.not_before {
+            } else if !over_quota && !lendable.waits && self.now >= peer.lender.not_before {
                 // Random order, so that hosts don't all ask the same peer.
                 let any: u32 = self.rng.random();
-                unknown.push((spare.waits, remote, any, address.clone()));
+                unknown.push((lendable.waits, remote, any, address.clone()));
             }
         }
         known.sort();
@@ -210,7 +210,7 @@
             if let Some(peer) = self.peers.get_mut(&address) {
                 peer.lender.back_off(now);
             }
-            return self.note_wasted(Waste::BorrowedInVain);
+            return self.record_wasted(WastedMessage::NothingLent);
         };
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.lender.backoff_ms = FIRST_BACKOFF_MS;
@@ -244,7 +244,7 @@
     pub(super) fn flush_returns(&mut self) {
         for report in self.borrowed.take_returns() {
             if report.unused {
-                self.note_wasted(Waste::LentInVain);
+                self.record_wasted(WastedMessage::LoanUnused);
             }
             let grant = |(target, count): &(_, u32)| Grant {
                 target: self.targets.get(*target).name.clone(),
--- a/crates/entry-core/src/host/calls.rs
+++ b/crates/entry-core/src/host/calls.rs
@@ -1,4 +1,4 @@
-//! The host's calls to peers and to the table, its replies and its notes.
+//! The host's calls to peers and to the table, its replies and its telemetry events.
 
 use std::collections::HashMap;
 
@@ -8,8 +8,8 @@
 use gannetridge_wire::Name;
 
 use super::Host;
-use crate::action::{Action, Note, Waste};
-use crate::event::{CallId, Token};
+use crate::action::{Action, TelemetryEvent, WastedMessage};
+use crate::event::{CallId, RequestToken};
 use crate::ledger::Waiter;
 
 /// The purpose of a call to a peer or to the table.
@@ -69,7 +69,7 @@
         self.actions.push(Action::Table { call, op });
     }
 
-    pub(super) fn reply(&mut self, token: Token, reply: PeerReply) {
+    pub(super) fn reply(&mut self, token: RequestToken, reply: PeerReply) {
         self.actions.push(Action::Reply { token, reply });
     }
 
@@ -78,17 +78,17 @@
         match waiter {
             Waiter::Caller(token) => self.actions.push(Action::Answer { token, answer }),
             Waiter::Peer(token) | Waiter::PeerRetry(token) => {
-                let spare = self.spare();
+                let spare = self.lendable_slots();
                 self.reply(token, PeerReply::Answer { answer, spare });
             }
         }
     }
 
-    pub(super) fn note(&mut self, note: Note) {
-        self.actions.push(Action::Note(note));
+    pub(super) fn record(&mut self, event: TelemetryEvent) {
+        self.actions.push(Action::Telemetry(event));
     }
 
-    pub(super) fn note_wasted(&mut self, waste: Waste) {
-        self.note(Note::Wasted(waste));
+    pub(super) fn record_wasted(&mut self, message: WastedMessage) {
+        self.record(TelemetryEvent::Wasted(message));
     }
 }
--- a/crates/entry-core/src/host/config_changes.rs
+++ b/crates/entry-core/src/host/config_changes.rs
@@ -19,7 +19,7 @@
 use crate::action::Action;
 use crate::charts::{ChangeEvent, ChangeState, CHANGE};
 use crate::config_store::{CONFIG_HEAD, CONFIG_PREFIX};
-use crate::event::{ChangeAnswer, ChangeRequest, Token};
+use crate::event::{ChangeAnswer, ChangeRequest, RequestToken};
 use crate::retry::backoff_ms;
 
 /// How long a change is retried, in ms.
@@ -34,7 +34,7 @@
 /// An operator's change in progress.
 #[derive(Debug)]
 pub(super) struct Change {
-    token: Token,
+    token: RequestToken,
     request: ChangeRequest,
     state: ChangeState,
     /// The configuration that results if the last attempt's write takes place.
@@ -52,7 +52,7 @@
 }
 
 impl Host {
-    pub(super) fn on_change(&mut self, token: Token, request: ChangeRequest) {
+    pub(super) fn on_change(&mut self, token: RequestToken, request: ChangeRequest) {
         let file = request.key.to_string();
         if let Err(faults) = Document::read(request.key.kind, &file, &request.text) {
             return self.answer_change(token, ChangeAnswer::Faulty(faults));
@@ -70,7 +70,7 @@
         self.read_for_change(self.changes.last_key);
     }
 
-    fn answer_change(&mut self, token: Token, answer: ChangeAnswer) {
+    fn answer_change(&mut self, token: RequestToken, answer: ChangeAnswer) {
         self.actions.push(Action::ChangeAnswer { token, answer });
     }
 
--- a/crates/entry-core/src/host/ends.rs
+++ b/crates/entry-core/src/host/ends.rs
@@ -8,7 +8,7 @@
 use super::run::QUERY_MAX_BACKOFF_MS;
 use super::timers::Timer;
 use super::Host;
-use crate::action::Note;
+use crate::action::TelemetryEvent;
 use crate::charts::{TaskEvent, TaskState};
 use crate::job::{Job, Task};
 use crate::keys::JobKey;
@@ -70,7 +70,7 @@
         );
         if answer.is_final() {
             entry.state = EntryState::Ended(Arc::new(answer.clone()));
-            self.note(Note::Finished {
+            self.record(TelemetryEvent::Finished {
                 account: job.entry.account.clone(),
                 urgency: job.account.urgency,
                 complete: matches!(answer, Answer::Complete { .. }),
@@ -80,7 +80,7 @@
         } else {
             let account = job.entry.account.clone();
             entry.state = EntryState::Refused;
-            self.note(Note::Refused { account });
+            self.record(TelemetryEvent::Refused { account });
         }
         for waiter in waiters {
             self.answer(waiter, answer.clone());
--- a/crates/entry-core/src/host/forward.rs
+++ b/crates/entry-core/src/host/forward.rs
@@ -9,7 +9,7 @@
 use super::calls::CallPurpose;
 use super::timers::Timer;
 use super::Host;
-use crate::action::Waste;
+use crate::action::WastedMessage;
 use crate::charts::ShardState;
 use crate::event::SendFailure;
 use crate::ledger::Waiter;
@@ -134,7 +134,7 @@
             return;
         };
         let here = forward.shard.hall == self.settings.hall
-            && self.ownership.state(forward.shard.index) != ShardState::Absent;
+            && self.ownership.shard_state(forward.shard.index) != ShardState::Absent;
         if here {
             let forward = self.forwards.pending.remove(&key).expect("looked up above");
             self.route(forward.waiter, forward.submission);
@@ -156,7 +156,7 @@
                 self.send_answer(forward.waiter, &forward.submission, answer);
             }
             Ok(PeerReply::NotHolder { address }) => {
-                self.note_wasted(Waste::Misrouted);
+                self.record_wasted(WastedMessage::Misrouted);
                 self.forward_next(key, address);
             }
             Ok(_) | Err(SendFailure::NotSent) => {
@@ -165,13 +165,13 @@
                     self.directory
                         .remove_report(&forward.shard.clone(), &address);
                 }
-                self.note_wasted(Waste::Lost);
+                self.record_wasted(WastedMessage::Lost);
                 self.forward_next(key, None);
             }
             Err(SendFailure::Unknown) => {
                 // The holder's ledger makes a repeated sending safe.
                 forward.maybe_handled = true;
-                self.note_wasted(Waste::Lost);
+                self.record_wasted(WastedMessage::Lost);
                 self.end_round(key);
             }
         }
--- a/crates/entry-core/src/host/handover.rs
+++ b/crates/entry-core/src/host/handover.rs
@@ -11,8 +11,8 @@
 use super::timers::Timer;
 use super::updates::PendingUpdate;
 use super::Host;
-use crate::action::Note;
-use crate::event::{SendFailure, Token};
+use crate::action::TelemetryEvent;
+use crate::event::{RequestToken, SendFailure};
 use crate::ledger::Waiter;
 use crate::ownership::HandoverDecision;
 
@@ -201,7 +201,7 @@
         if handed_over {
             self.ownership.handover_completed(&current.handover);
             self.handovers.new_holders.insert(shard, current.address);
-            self.note(Note::ShardReleased { shard });
+            self.record(TelemetryEvent::ShardReleased { shard });
             self.send_hall_heartbeats();
             self.set_timer_in(ROW_READ_DELAY_MS, Timer::ReadRow);
         } else {
@@ -231,13 +231,13 @@
     }
 
     /// Handles a handover from a peer.
-    pub(super) fn on_handover(&mut self, token: Token, mut handover: Handover) {
+    pub(super) fn on_handover(&mut self, token: RequestToken, mut handover: Handover) {
         let records = std::mem::take(&mut handover.records);
         let reply = match self.ownership.receive_handover(&handover, self.now) {
             HandoverDecision::Accepted => {
                 self.handovers.new_holders.remove(&handover.shard);
                 self.merge_records(records);
-                self.note(Note::ShardAcquired {
+                self.record(TelemetryEvent::ShardAcquired {
                     shard: handover.shard,
                     epoch: handover.epoch.0,
                 });
--- a/crates/entry-core/src/host/heartbeat.rs
+++ b/crates/entry-core/src/host/heartbeat.rs
@@ -9,7 +9,7 @@
 use super::borrow::LenderState;
 use super::calls::CallPurpose;
 use super::Host;
-use crate::event::{SendFailure, Token};
+use crate::event::{RequestToken, SendFailure};
 
 /// A peer counts as alive for this long after its last status, in ms.
 pub(super) const PEER_TIMEOUT_MS: u64 = 3_000;
@@ -71,10 +71,10 @@
             address: self.settings.address.clone(),
             config_version: self.config.version(),
             shards: self.ownership.held_shards(),
-            spare: self.spare(),
+            spare: self.lendable_slots(),
             usage,
             leaving: self.targets.leaving(),
-            resigned: self.ownership.resigned(),
+            resigned: self.ownership.has_resigned(),
         }
     }
 
@@ -162,7 +162,12 @@
             .retain(|address, p| named.contains(address) || p.last_status >= alive_since);
     }
 
-    pub(super) fn on_heartbeat(&mut self, token: Token, status: Status, wanted: &[PromiseRequest]) {
+    pub(super) fn on_heartbeat(
+        &mut self,
+        token: RequestToken,
+        status: Status,
+        wanted: &[PromiseRequest],
+    ) {
         let hall = status.hall.clone();
         let address = status.address.clone();
         self.apply_status(status);
--- a/crates/entry-core/src/host/lend.rs
+++ b/crates/entry-core/src/host/lend.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_entry_wire::peer::{PeerReply, Spare};
+use gannetridge_entry_wire::peer::{LendableSlots, PeerReply};
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 
 use super::timers::Timer;
 use super::Host;
-use crate::event::Token;
+use crate::event::RequestToken;
 use crate::settings::Placement;
 
 /// Divisor for the part of a host's slots that it doesn't lend to tasks over their
@@ -22,7 +22,7 @@
 /// A peer's request to borrow slots.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BorrowRequest {
-    pub(super) token: Token,
+    pub(super) token: RequestToken,
     pub(super) count: u32,
     pub(super) over_quota: bool,
     pub(super) due: Time,
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(super) struct BorrowRequests {
     /// The key is (over quota, due time, token): requests within quotas go first.
-    waiting: BTreeMap<(bool, Time, Token), WaitingRequest>,
+    waiting: BTreeMap<(bool, Time, RequestToken), WaitingRequest>,
 }
 
 #[derive(Debug)]
@@ -59,13 +59,13 @@
         Some(*over_quota)
     }
 
-    fn pop_first(&mut self) -> Option<(Token, u32)> {
+    fn pop_first(&mut self) -> Option<(RequestToken, u32)> {
         let ((.., token), request) = self.waiting.pop_first()?;
         Some((token, request.count))
     }
 
     /// Removes and returns the requests that have waited long enough.
-    fn pop_expired(&mut self, now: Time) -> Vec<Token> {
+    fn pop_expired(&mut self, now: Time) -> Vec<RequestToken> {
         let expired = self.waiting.iter().filter(|(_, r)| r.until <= now);
         let keys: Vec<_> = expired.map(|(key, _)| *key).collect();
         for key in &keys {
@@ -96,8 +96,8 @@
     }
 
     /// Returns the slots that this host reports as available to peers.
-    pub(super) fn spare(&self) -> Spare {
-        Spare {
+    pub(super) fn lendable_slots(&self) -> LendableSlots {
+        LendableSlots {
             free: self.lendable(false),
             surplus: self.lendable(true),
             waits: self.queue.waiting_within_quota() > 0,
@@ -109,7 +109,7 @@
     pub(super) fn on_borrow(&mut self, from: &Name, request: BorrowRequest) {
         if let Some(peer) = self.peers.get_mut(from) {
             // A peer that borrows has nothing to lend.
-            peer.lender.update(Spare {
+            peer.lender.update(LendableSlots {
                 free: 0,
                 surplus: 0,
                 waits: true,
@@ -156,7 +156,7 @@
     }
 
     /// Lends `count` slots, or as many of them as are free, and replies.
-    fn lend(&mut self, token: Token, count: u32) {
+    fn lend(&mut self, token: RequestToken, count: u32) {
         let until = self.now.plus_millis(self.settings.tuning.loan_ms);
         let rng = &mut self.rng;
         let hall = &self.settings.hall;
@@ -169,7 +169,7 @@
             loan,
             grants,
             until,
-            spare: self.spare(),
+            spare: self.lendable_slots(),
         };
         self.reply(token, lent);
     }
--- a/crates/entry-core/src/host/owner.rs
+++ b/crates/entry-core/src/host/owner.rs
@@ -10,7 +10,7 @@
 
 use super::calls::CallPurpose;
 use super::Host;
-use crate::action::Note;
+use crate::action::TelemetryEvent;
 use crate::event::CallId;
 use crate::ownership::OwnershipChanges;
 
@@ -83,7 +83,7 @@
 
     /// Writes the row that this host wants, if it differs from the table's.
     fn write_row(&mut self) {
-        let Some(row) = self.ownership.compose(self.now) else {
+        let Some(row) = self.ownership.compose_row(self.now) else {
             return;
         };
         self.row_access_pending = true;
@@ -128,12 +128,12 @@
                 .find(|(s, _)| *s == shard)
                 .map_or(0, |(_, e)| e.0);
             self.handovers.new_holders.remove(&shard);
-            self.note(Note::ShardAcquired { shard, epoch });
+            self.record(TelemetryEvent::ShardAcquired { shard, epoch });
         }
         for shard in changes.lost {
             self.fail_jobs_of_lost_shard(shard);
             self.release_deferred(shard);
-            self.note(Note::ShardReleased { shard });
+            self.record(TelemetryEvent::ShardReleased { shard });
         }
         if moved {
             self.send_hall_heartbeats();
--- a/crates/entry-core/src/host/peers.rs
+++ b/crates/entry-core/src/host/peers.rs
@@ -5,7 +5,7 @@
 use super::calls::CallPurpose;
 use super::lend::BorrowRequest;
 use super::Host;
-use crate::event::{CallId, SendFailure, Token};
+use crate::event::{CallId, RequestToken, SendFailure};
 use crate::ledger::Waiter;
 
 impl Host {
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(super) fn on_peer(&mut self, token: Token, request: PeerRequest) {
+    pub(super) fn on_peer(&mut self, token: RequestToken, request: PeerRequest) {
         match request {
             PeerRequest::Submit {
                 from,
--- a/crates/entry-core/src/host/query.rs
+++ b/crates/entry-core/src/host/query.rs
@@ -1,12 +1,12 @@
 //! Queries targets about runs whose reply was lost, and stops stragglers.
 
-use gannetridge_entry_wire::target::AskTask;
+use gannetridge_entry_wire::target::TaskQuery;
 use gannetridge_entry_wire::FailureCause;
 
 use super::run::{RunningTask, QUERY_MAX_BACKOFF_MS, QUERY_TIMEOUT_MS};
 use super::timers::Timer;
 use super::Host;
-use crate::action::{Action, Waste};
+use crate::action::{Action, WastedMessage};
 use crate::charts::TaskEvent;
 use crate::event::CallId;
 use crate::retry::backoff_ms;
@@ -45,17 +45,17 @@
         let Some(task) = self.running.get(&call) else {
             return;
         };
-        let ask = AskTask {
+        let query = TaskQuery {
             task: task.id.clone(),
             sent: task.sent,
             stop: task.stop_requested,
         };
         let address = self.targets.get(task.target).address.clone();
-        self.note_wasted(Waste::AskedAgain);
-        self.actions.push(Action::Ask {
+        self.record_wasted(WastedMessage::RunQueried);
+        self.actions.push(Action::Query {
             call,
             address,
-            ask,
+            query,
             wait_ms: QUERY_TIMEOUT_MS,
         });
     }
@@ -88,7 +88,7 @@
             return;
         }
         task.stop_requested = true;
-        let ask = AskTask {
+        let query = TaskQuery {
             task: task.id.clone(),
             sent: task.sent,
             stop: true,
@@ -96,10 +96,10 @@
         let address = self.targets.get(task.target).address.clone();
         // The reply to the start reports how the run ended, so this one isn't awaited.
         let call = self.new_call();
-        self.actions.push(Action::Ask {
+        self.actions.push(Action::Query {
             call,
             address,
-            ask,
+            query,
             wait_ms: QUERY_TIMEOUT_MS,
         });
     }
--- a/crates/entry-core/src/host/quotas.rs
+++ b/crates/entry-core/src/host/quotas.rs
@@ -60,7 +60,7 @@
             .sum();
         Quota {
             total: quota,
-            elsewhere: f64::from(in_hall + self.remote_usage.of(name, self.now)),
+            used_by_other_hosts: f64::from(in_hall + self.remote_usage.of(name, self.now)),
             minimum: part.max(MIN_QUOTA),
         }
     }
--- a/crates/entry-core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -159,8 +159,8 @@
         self.budget.earn();
         if repeatable {
             let ratio = f64::from(self.run_time_ratio.ratio()).max(1.0);
-            let usual_ms = (f64::from(expected_ms) * ratio) as u64;
-            self.set_timer_in(usual_ms * STRAGGLER_FACTOR, Timer::Straggler(call));
+            let expected_run_ms = (f64::from(expected_ms) * ratio) as u64;
+            self.set_timer_in(expected_run_ms * STRAGGLER_FACTOR, Timer::Straggler(call));
         }
         let entry = self.targets.get(target);
         self.actions.push(Action::Start {
@@ -184,10 +184,10 @@
             .now
             .plus_millis(tuning.begin_window_ms)
             .min(job.deadline);
-        if self.settings.safeguards.limit_start_time {
+        if self.settings.safeguards.start_time_limit {
             let limit = right.expect("checked before the start");
             assert!(
-                limit >= self.now || !self.settings.safeguards.lapse_check,
+                limit >= self.now || !self.settings.safeguards.expiry_check,
                 "nothing is started under an expired right"
             );
             latest_begin = latest_begin.min(limit);
--- a/crates/entry-core/src/host/run_ends.rs
+++ b/crates/entry-core/src/host/run_ends.rs
@@ -9,7 +9,7 @@
 use super::run::{RunningTask, SlotSource};
 use super::timers::Timer;
 use super::Host;
-use crate::action::Waste;
+use crate::action::WastedMessage;
 use crate::charts::TaskEvent;
 use crate::event::{CallId, SendFailure};
 use crate::targets::TargetIndex;
@@ -37,12 +37,12 @@
                 self.on_run_over(&task);
             }
             Ok(TaskReport::Refused { reason }) => {
-                self.note_wasted(Waste::Bounced);
+                self.record_wasted(WastedMessage::StartRefused);
                 self.on_start_refused(&task, reason);
                 self.release_run(call, &task);
                 self.on_never_started(&task, reason == StartRefusal::StaleEpoch);
             }
-            Ok(TaskReport::NeverBegun) => {
+            Ok(TaskReport::NeverStarted) => {
                 self.release_run(call, &task);
                 self.on_never_started(&task, false);
             }
@@ -78,7 +78,7 @@
 
     fn on_done(&mut self, task: &RunningTask, output: String, ran_ms: u64) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.note_wasted(Waste::Late);
+            return self.record_wasted(WastedMessage::Late);
         };
         assert_eq!(
             job.task_id(task.index),
@@ -94,7 +94,7 @@
     /// Handles a run that ended without an output.
     fn on_failed(&mut self, task: &RunningTask, ran_ms: u64) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.note_wasted(Waste::Late);
+            return self.record_wasted(WastedMessage::Late);
         };
         job.has_run = true;
         job.slowest_ms = job.slowest_ms.max(ran_ms);
@@ -104,7 +104,7 @@
     /// Handles a run that has ended, which may never have started.
     fn on_run_over(&mut self, task: &RunningTask) {
         if !self.jobs.contains_key(&task.job) {
-            return self.note_wasted(Waste::Late);
+            return self.record_wasted(WastedMessage::Late);
         }
         self.repeat_or_fail(task, FailureCause::TargetLost);
     }
@@ -144,7 +144,7 @@
 
     /// Handles a start or query that got no reply.
     fn on_no_reply(&mut self, call: CallId, task: &RunningTask, failure: SendFailure) {
-        self.note_wasted(Waste::Lost);
+        self.record_wasted(WastedMessage::Lost);
         let now = self.now;
         self.targets
             .update(task.target, |t| t.health.record_failure(now));
--- a/crates/entry-core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -10,7 +10,7 @@
 use gannetridge_entry_wire::{Answer, FailureCause, Rejection, RunStatus, Submission};
 
 use super::Host;
-use crate::action::{Note, Waste};
+use crate::action::{TelemetryEvent, WastedMessage};
 use crate::charts::ShardState;
 use crate::keys::EntryKey;
 use crate::ledger::{Entry, EntryState, Waiter};
@@ -28,7 +28,7 @@
         if shard.hall != self.settings.hall {
             return self.forward_or_redirect(waiter, submission);
         }
-        match self.ownership.state(shard.index) {
+        match self.ownership.shard_state(shard.index) {
             ShardState::Held | ShardState::Acting => {
                 self.handle_owned(waiter, submission, shard.index)
             }
@@ -60,7 +60,7 @@
         if self.settings.safeguards.ledger && self.answer_from_ledger(waiter, &key, &submission) {
             return;
         }
-        let Some(right) = self.ownership.right(shard, self.now) else {
+        let Some(right) = self.ownership.acceptance_right(shard, self.now) else {
             let answer = self.no_owner_answer(waiter, &submission);
             return self.send_answer(waiter, &submission, answer);
         };
@@ -111,13 +111,13 @@
         entry.attempt = entry.attempt.max(submission.attempt);
         match &entry.state {
             EntryState::Refused => unreachable!("handled above"),
-            EntryState::Running(_) | EntryState::RunsElsewhere => entry.waiters.push(waiter),
+            EntryState::Running(_) | EntryState::RunsOnOtherHost => entry.waiters.push(waiter),
             EntryState::Ended(answer) => {
                 let answer = (**answer).clone();
                 self.answer(waiter, answer);
             }
         }
-        self.note_wasted(Waste::Resubmitted);
+        self.record_wasted(WastedMessage::Resubmitted);
         true
     }
 
@@ -189,7 +189,7 @@
     pub(super) fn send_answer(&mut self, waiter: Waiter, submission: &Submission, answer: Answer) {
         if matches!(answer, Answer::Refused { .. }) {
             let account = submission.account.clone();
-            self.note(Note::Refused { account });
+            self.record(TelemetryEvent::Refused { account });
         }
         self.answer(waiter, answer);
     }
@@ -198,7 +198,7 @@
     /// only if no earlier sending can have been started.
     pub(super) fn no_owner_answer(&mut self, waiter: Waiter, submission: &Submission) -> Answer {
         let retry_after_ms = spread_ms(&mut self.rng, RETRY_AFTER_MS);
-        if matches!(waiter, Waiter::PeerRetry(_)) || !self.is_first_sending(submission) {
+        if matches!(waiter, Waiter::PeerRetry(_)) || !self.is_first_attempt(submission) {
             return Answer::Pending { retry_after_ms };
         }
         let reason = if self.config.version() == 0 {
@@ -214,12 +214,12 @@
 
     /// Returns true if no other sending of the submission can exist: the caller marks it
     /// as the first, and its id is too recent for a resend.
-    fn is_first_sending(&self, submission: &Submission) -> bool {
+    fn is_first_attempt(&self, submission: &Submission) -> bool {
         let tuning = &self.settings.tuning;
         let uncertainty_ms = tuning.caller_skew_ms + tuning.skew_ms;
-        let first_sending_ms = tuning.min_resend_ms.saturating_sub(uncertainty_ms);
-        let is_recent = self.now <= submission.id.created().plus_millis(first_sending_ms);
+        let no_resend_ms = tuning.min_resend_ms.saturating_sub(uncertainty_ms);
+        let is_recent = self.now <= submission.id.created().plus_millis(no_resend_ms);
         let first = submission.attempt == 0 && is_recent;
-        first || !self.settings.safeguards.first_sending_check
+        first || !self.settings.safeguards.first_attempt_check
     }
 }
--- a/crates/entry-core/src/host/sync.rs
+++ b/crates/entry-core/src/host/sync.rs
@@ -8,9 +8,9 @@
 use super::calls::CallPurpose;
 use super::config_rows::{read_rows, Head};
 use super::Host;
-use crate::action::{Action, Note};
+use crate::action::{Action, TelemetryEvent};
 use crate::config_store::CONFIG_PREFIX;
-use crate::event::{SendFailure, Token};
+use crate::event::{RequestToken, SendFailure};
 use crate::settings::Placement;
 
 /// Timeout of the reply to a configuration pull, in ms.
@@ -50,7 +50,7 @@
         let version = self.config.version();
         assert!(version > before || !check, "a configuration never reverts");
         self.targets.set_draining(self.config.draining());
-        self.note(Note::ConfigInForce { version });
+        self.record(TelemetryEvent::ConfigInForce { version });
     }
 
     /// Requests a newer configuration from a peer, and the list if none is known.
@@ -61,7 +61,7 @@
         self.call_peer(CallPurpose::ConfigPull, address, request, PULL_TIMEOUT_MS);
     }
 
-    pub(super) fn on_config_pull(&mut self, token: Token, have: u64, want_list: bool) {
+    pub(super) fn on_config_pull(&mut self, token: RequestToken, have: u64, want_list: bool) {
         let newer = self.config.version() > have;
         let snapshot = newer.then(|| self.config.snapshot().clone());
         let list = want_list.then(|| self.list.clone()).flatten();
--- a/crates/entry-core/src/host/timers.rs
+++ b/crates/entry-core/src/host/timers.rs
@@ -151,7 +151,7 @@
         self.targets.probe_due_targets(self.now);
         self.lent.reclaim(&mut self.targets, self.now);
         self.ledger.remove_expired(self.now);
-        self.fail_overdue_elsewhere();
+        self.fail_overdue_on_other_hosts();
         self.divide_targets();
         self.refresh_quotas();
         self.start_next_handover();
--- a/crates/entry-core/src/host/updates.rs
+++ b/crates/entry-core/src/host/updates.rs
@@ -23,7 +23,7 @@
 /// Largest number of attempts to send an update.
 const MAX_UPDATE_ATTEMPTS: u32 = 10;
 /// Time after its deadline at which a job that runs elsewhere is failed, in ms.
-const ELSEWHERE_GRACE_MS: u64 = 3_000;
+const OTHER_HOST_GRACE_MS: u64 = 3_000;
 
 /// The records to send to a shard's new holder.
 #[derive(Debug, Default)]
@@ -105,9 +105,9 @@
     }
 
     /// Fails submissions whose job ran at another host and is long past its deadline.
-    pub(super) fn fail_overdue_elsewhere(&mut self) {
-        let before = self.now.minus_millis(ELSEWHERE_GRACE_MS);
-        for key in self.ledger.overdue_elsewhere(before) {
+    pub(super) fn fail_overdue_on_other_hosts(&mut self) {
+        let before = self.now.minus_millis(OTHER_HOST_GRACE_MS);
+        for key in self.ledger.overdue_on_other_hosts(before) {
             let answer = Answer::Failed {
                 cause: FailureCause::OwnerLost,
                 ran: RunStatus::Unknown,
--- a/crates/entry-core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -10,18 +10,18 @@
 use gannetridge_entry_wire::peer::LedgerRecord;
 use gannetridge_entry_wire::{Answer, Time};
 
-use crate::event::Token;
+use crate::event::RequestToken;
 use crate::keys::{EntryKey, JobKey};
 
 /// The recipient of a submission's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
     /// A caller that is connected to this host.
-    Caller(Token),
+    Caller(RequestToken),
     /// A peer that forwarded the submission for its caller.
-    Peer(Token),
+    Peer(RequestToken),
     /// A peer that forwarded the submission before and doesn't know the outcome.
-    PeerRetry(Token),
+    PeerRetry(RequestToken),
 }
 
 /// The state of a submission.
@@ -30,7 +30,7 @@
     /// The job runs on this host.
     Running(JobKey),
     /// The job runs at the host that handed its shard over, until its deadline.
-    RunsElsewhere,
+    RunsOnOtherHost,
     /// The job ended with this final answer.
     Ended(Arc<Answer>),
     /// The submission was refused as not run. This covers all sendings up to the
@@ -177,7 +177,7 @@
             entry.attempt = entry.attempt.max(record.attempt);
             let Some(answer) = answer else {
                 // A later sending than the refused one runs at the sender.
-                entry.state = EntryState::RunsElsewhere;
+                entry.state = EntryState::RunsOnOtherHost;
                 entry.digest = record.digest;
                 return Some(Vec::new());
             };
@@ -190,7 +190,7 @@
         let entry = Entry {
             shard,
             digest: record.digest,
-            state: answer.map_or(EntryState::RunsElsewhere, state_for),
+            state: answer.map_or(EntryState::RunsOnOtherHost, state_for),
             attempt: record.attempt,
             deadline: record.deadline,
             waiters: Vec::new(),
@@ -202,9 +202,9 @@
     /// Returns the submissions that run at another host and whose deadline passed
     /// before `before`.
     #[must_use]
-    pub fn overdue_elsewhere(&self, before: Time) -> Vec<EntryKey> {
+    pub fn overdue_on_other_hosts(&self, before: Time) -> Vec<EntryKey> {
         let overdue = |(_, entry): &(&EntryKey, &Entry)| {
-            matches!(entry.state, EntryState::RunsElsewhere) && entry.deadline < before
+            matches!(entry.state, EntryState::RunsOnOtherHost) && entry.deadline < before
         };
         let mut keys: Vec<_> = self
             .entries
@@ -228,7 +228,7 @@
 fn to_record(key: &EntryKey, entry: &Entry) -> LedgerRecord {
     let answer = match &entry.state {
         EntryState::Ended(answer) => Some((**answer).clone()),
-        EntryState::Running(_) | EntryState::RunsElsewhere => None,
+        EntryState::Running(_) | EntryState::RunsOnOtherHost => None,
         EntryState::Refused => Some(Answer::Refused {
             reason: Refusal::Superseded,
             retry_after_ms: 0,
--- a/crates/entry-core/src/lib.rs
+++ b/crates/entry-core/src/lib.rs
@@ -29,7 +29,7 @@
 mod settings;
 mod targets;
 
-pub use action::{Action, Note, Waste};
-pub use event::{CallId, ChangeAnswer, ChangeRequest, Event, SendFailure, Token};
+pub use action::{Action, TelemetryEvent, WastedMessage};
+pub use event::{CallId, ChangeAnswer, ChangeRequest, Event, RequestToken, SendFailure};
 pub use host::Host;
 pub use settings::{HostSettings, Placement, Safeguards, Tuning};
--- a/crates/entry-core/src/ownership/handover.rs
+++ b/crates/entry-core/src/ownership/handover.rs
@@ -92,14 +92,14 @@
             serial: self.last_serial,
             shard,
             holder: local.holder.clone(),
-            holder_address: self.taker(&local.holder).address,
+            holder_address: self.candidate(&local.holder).address,
             epoch: local.epoch,
             fence: local.fence,
             cutoff: local.cutoff,
             valid_until,
             table_until: lease.table_until,
             promise_limit: lease.limit,
-            takers: lease.takers.iter().map(|id| self.taker(id)).collect(),
+            takers: lease.takers.iter().map(|id| self.candidate(id)).collect(),
             promises: self.promises_for(&local.holder),
             heir_until,
             records,
@@ -107,7 +107,7 @@
     }
 
     /// Returns a possible successor with its known address.
-    fn taker(&self, id: &HostId) -> TakeoverCandidate {
+    fn candidate(&self, id: &HostId) -> TakeoverCandidate {
         let address = self.incarnations.address(id).cloned();
         TakeoverCandidate {
             id: id.clone(),
@@ -128,8 +128,8 @@
             .promises_received
             .iter()
             .filter(|((h, _), _)| h == holder);
-        let promise = |((_, taker), until): (&(HostId, HostId), &Time)| CandidatePromise {
-            taker: taker.clone(),
+        let promise = |((_, candidate), until): (&(HostId, HostId), &Time)| CandidatePromise {
+            taker: candidate.clone(),
             until: *until,
         };
         promises.map(promise).collect()
@@ -168,7 +168,7 @@
     /// Decides on a handover received from a peer.
     pub fn receive_handover(&mut self, handover: &Handover, now: Time) -> HandoverDecision {
         self.expire_rights(now);
-        let once = self.safeguards.handover_once;
+        let once = self.safeguards.accept_handover_once;
         if once && handover.to != self.own_id {
             return HandoverDecision::NotAddressee;
         }
@@ -210,8 +210,9 @@
     /// Adds the lease of the holder that this host acts for, or extends it.
     pub(super) fn adopt_holder_lease(&mut self, handover: &Handover, now: Time) {
         let holder = handover.holder.clone();
-        for taker in handover.takers.iter().filter(|t| !t.address.is_empty()) {
-            self.incarnations.record_address(&taker.id, &taker.address);
+        for candidate in handover.takers.iter().filter(|t| !t.address.is_empty()) {
+            self.incarnations
+                .record_address(&candidate.id, &candidate.address);
         }
         if !handover.holder_address.is_empty() {
             self.incarnations
--- a/crates/entry-core/src/ownership/mod.rs
+++ b/crates/entry-core/src/ownership/mod.rs
@@ -186,13 +186,13 @@
 
     /// Returns the state of a shard.
     #[must_use]
-    pub fn state(&self, shard: u16) -> ShardState {
+    pub fn shard_state(&self, shard: u16) -> ShardState {
         self.shards[usize::from(shard)].state
     }
 
     /// Describes the state of a shard, for logs and failed checks.
     #[must_use]
-    pub fn describe(&self, shard: u16) -> String {
+    pub fn describe_shard(&self, shard: u16) -> String {
         let local = &self.shards[usize::from(shard)];
         let lease = self.leases.get(&local.holder);
         let row = &self.row.shards[usize::from(shard)];
@@ -206,7 +206,7 @@
 
     /// Returns true if this host will never take over a shard any more.
     #[must_use]
-    pub fn resigned(&self) -> bool {
+    pub fn has_resigned(&self) -> bool {
         let taking = |w: &PendingWrite| !w.takes_from.is_empty();
         self.stopping && !self.pending_write.as_ref().is_some_and(taking)
     }
--- a/crates/entry-core/src/ownership/rights.rs
+++ b/crates/entry-core/src/ownership/rights.rs
@@ -25,7 +25,7 @@
 impl Ownership {
     /// Returns the right to accept submissions of a shard, if it is in force.
     #[must_use]
-    pub fn right(&self, shard: u16, now: Time) -> Option<Right> {
+    pub fn acceptance_right(&self, shard: u16, now: Time) -> Option<Right> {
         let local = &self.shards[usize::from(shard)];
         if !matches!(local.state, ShardState::Held | ShardState::Acting) {
             return None;
@@ -47,7 +47,7 @@
             until = until.min(own.valid_until);
             lapsed |= own.lapsed;
         }
-        if self.safeguards.lapse_check && (lapsed || now > until) {
+        if self.safeguards.expiry_check && (lapsed || now > until) {
             return None;
         }
         Some(Right {
@@ -69,7 +69,7 @@
     /// over gracefully stay with this host, without a limit.
     #[must_use]
     pub fn latest_start(&self, shard: u16, epoch: Epoch, now: Time) -> Option<Time> {
-        match self.state(shard) {
+        match self.shard_state(shard) {
             ShardState::Held | ShardState::Acting | ShardState::HandingOver => {
                 let right = self.lease_right(shard, now);
                 // The shard was taken over and acquired again since: its older jobs must not
@@ -101,15 +101,16 @@
         let Some(lease) = self.leases.get_mut(holder) else {
             return;
         };
-        let promised = |taker: &HostId| {
-            let key = (holder.clone(), taker.clone());
+        let promised = |candidate: &HostId| {
+            let key = (holder.clone(), candidate.clone());
             self.promises_received
                 .get(&key)
                 .copied()
                 .unwrap_or(Time::ZERO)
         };
-        let harmless = |t: &HostId| self.incarnations.has_ended(t) || self.resigned.contains(t);
-        let needed = lease.takers.iter().filter(|t| !harmless(t));
+        let cannot_take_over =
+            |t: &HostId| self.incarnations.has_ended(t) || self.resigned.contains(t);
+        let needed = lease.takers.iter().filter(|t| !cannot_take_over(t));
         let by_promise = needed.map(promised).min().unwrap_or(Time::MAX);
         let extended = by_promise.min(lease.heir_until).min(lease.limit);
         lease.valid_until = lease.table_until.max(extended);
--- a/crates/entry-core/src/ownership/table.rs
+++ b/crates/entry-core/src/ownership/table.rs
@@ -20,7 +20,7 @@
 
     /// Composes the row that this host wants to write over the version last read. Returns
     /// `None` if the row isn't known or needs no change.
-    pub fn compose(&mut self, now: Time) -> Option<HallRow> {
+    pub fn compose_row(&mut self, now: Time) -> Option<HallRow> {
         if !self.row_known {
             return None;
         }
--- a/crates/entry-core/src/queue.rs
+++ b/crates/entry-core/src/queue.rs
@@ -24,7 +24,7 @@
     /// The quota across all hosts.
     pub total: f64,
     /// Slots in use through other hosts, as last reported.
-    pub elsewhere: f64,
+    pub used_by_other_hosts: f64,
     /// The minimum that the account may use through this host.
     pub minimum: f64,
 }
@@ -33,14 +33,14 @@
     /// Returns the number of slots that the account may use through this host.
     #[must_use]
     pub fn local_limit(&self) -> f64 {
-        self.minimum.max(self.total - self.elsewhere)
+        self.minimum.max(self.total - self.used_by_other_hosts)
     }
 
     /// Returns the fraction of a host's slots that the account leaves free while it
     /// uses `in_use` slots here; it grows with the excess over the quota.
     #[must_use]
     pub fn reserved_fraction(&self, in_use: u32) -> f64 {
-        let excess = (f64::from(in_use) + self.elsewhere) / self.total.max(1.0) - 1.0;
+        let excess = (f64::from(in_use) + self.used_by_other_hosts) / self.total.max(1.0) - 1.0;
         (MIN_RESERVE + RESERVE_SLOPE * excess.max(0.0)).min(MAX_RESERVE)
     }
 }
--- a/crates/entry-core/src/settings.rs
+++ b/crates/entry-core/src/settings.rs
@@ -97,11 +97,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// A host starts nothing under an expired right to a shard.
-    pub lapse_check: bool,
+    pub expiry_check: bool,
     /// A new owner starts no submission that its predecessor may have started.
     pub takeover_cutoff: bool,
     /// A start is valid no longer than the right to its shard.
-    pub limit_start_time: bool,
+    pub start_time_limit: bool,
     /// A host keeps its promises not to take over.
     pub keep_promises: bool,
     /// A host waits for the end of a lease plus the clock skew before it takes over.
@@ -113,9 +113,9 @@
     /// A submission that the ledger knows is answered from its entry.
     pub ledger: bool,
     /// A handover is accepted once, by the incarnation that it is addressed to.
-    pub handover_once: bool,
+    pub accept_handover_once: bool,
     /// A refusal as not run is sent only if no earlier sending can exist.
-    pub first_sending_check: bool,
+    pub first_attempt_check: bool,
     /// A job completes only when all its tasks have.
     pub require_all_tasks: bool,
     /// Targets that are reported as leaving get no new tasks.
@@ -125,16 +125,16 @@
 impl Default for Safeguards {
     fn default() -> Self {
         Self {
-            lapse_check: true,
+            expiry_check: true,
             takeover_cutoff: true,
-            limit_start_time: true,
+            start_time_limit: true,
             keep_promises: true,
             await_lease_expiry: true,
             version_check: true,
             query_after_lost_start: true,
             ledger: true,
-            handover_once: true,
-            first_sending_check: true,
+            accept_handover_once: true,
+            first_attempt_check: true,
             require_all_tasks: true,
             exclude_leaving_targets: true,
         }
--- a/crates/entry-sim/src/hosts.rs
+++ b/crates/entry-sim/src/hosts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-use gannetridge_entry_core::{Action, CallId, Event, Host, Token};
+use gannetridge_entry_core::{Action, CallId, Event, Host, RequestToken};
 use gannetridge_entry_wire::Time;
 use gannetridge_wire::Name;
 
@@ -86,9 +86,9 @@
     /// Simulated time of its next scheduled tick.
     pub next_tick: Option<Time>,
     /// Senders of the requests that it hasn't answered.
-    pub requesters: HashMap<Token, Requester>,
+    pub requesters: HashMap<RequestToken, Requester>,
     /// Callers' requests that reached the core.
-    pub read_requests: BTreeSet<Token>,
+    pub read_requests: BTreeSet<RequestToken>,
     /// Calls without a reply so far.
     pub open_calls: HashMap<CallId, CallKind>,
     /// The last token handed out.
@@ -108,9 +108,9 @@
     }
 
     /// Registers a request and returns its token.
-    pub fn register_request(&mut self, requester: Requester) -> Token {
+    pub fn register_request(&mut self, requester: Requester) -> RequestToken {
         self.last_token += 1;
-        let token = Token(self.last_token);
+        let token = RequestToken(self.last_token);
         self.requesters.insert(token, requester);
         token
     }
--- a/crates/entry-sim/src/network.rs
+++ b/crates/entry-sim/src/network.rs
@@ -143,7 +143,7 @@
     pub(crate) fn reply_to_peer(
         &mut self,
         process: ProcessId,
-        token: gannetridge_entry_core::Token,
+        token: gannetridge_entry_core::RequestToken,
         reply: PeerReply,
     ) {
         let requester = self.hosts[process.host].requesters.remove(&token);
--- a/crates/entry-sim/src/perform.rs
+++ b/crates/entry-sim/src/perform.rs
@@ -1,8 +1,8 @@
-//! Performs the actions of hosts and records their notes.
+//! Performs the actions of hosts and records their telemetry events.
 
 use std::collections::BTreeMap;
 
-use gannetridge_entry_core::{Action, Note, Waste};
+use gannetridge_entry_core::{Action, TelemetryEvent, WastedMessage};
 
 use crate::checks::Violation;
 use crate::hosts::{OutgoingCall, ProcessId, ProcessState, Requester, SimHost};
@@ -59,19 +59,28 @@
                 };
                 self.send_to_runner(from, runner, start, wait_ms);
             }
-            Action::Ask {
+            Action::Query {
                 call,
                 address,
-                ask,
+                query,
                 wait_ms,
             } => {
                 let from = OutgoingCall { process, call };
                 let runner = self.runner_index(&address);
-                self.send_to_runner(from, runner, SimEvent::Ask { runner, from, ask }, wait_ms);
+                self.send_to_runner(
+                    from,
+                    runner,
+                    SimEvent::TaskQuery {
+                        runner,
+                        from,
+                        query,
+                    },
+                    wait_ms,
+                );
             }
             Action::Table { call, op } => self.call_table(OutgoingCall { process, call }, op),
             Action::ReadList { after } => self.read_list(process, after),
-            Action::Note(note) => self.record_note(process, &note),
+            Action::Telemetry(event) => self.record_telemetry(process, &event),
             Action::Stopped => self.on_stopped(process),
         }
     }
@@ -81,15 +90,17 @@
         self.now.as_millis() - START_MS >= self.scenario.warm_up_ms
     }
 
-    pub(crate) fn record_note(&mut self, process: ProcessId, note: &Note) {
-        match note {
-            Note::Wasted(Waste::Resubmitted) | Note::Finished { .. } | Note::Refused { .. } => {}
-            Note::Wasted(waste) => {
+    pub(crate) fn record_telemetry(&mut self, process: ProcessId, event: &TelemetryEvent) {
+        match event {
+            TelemetryEvent::Wasted(WastedMessage::Resubmitted)
+            | TelemetryEvent::Finished { .. }
+            | TelemetryEvent::Refused { .. } => {}
+            TelemetryEvent::Wasted(waste) => {
                 if self.is_measured() {
                     self.report.count_wasted(*waste);
                 }
             }
-            Note::ConfigInForce { version } => {
+            TelemetryEvent::ConfigInForce { version } => {
                 let host = &mut self.hosts[process.host];
                 if *version < host.config_version {
                     let text = format!("{} from {} to {version}", host.name, host.config_version);
@@ -98,8 +109,8 @@
                 }
                 self.hosts[process.host].config_version = *version;
             }
-            Note::ShardAcquired { .. } => self.check_owners(process),
-            Note::ShardReleased { .. } => {}
+            TelemetryEvent::ShardAcquired { .. } => self.check_owners(process),
+            TelemetryEvent::ShardReleased { .. } => {}
         }
     }
 
@@ -116,12 +127,12 @@
         {
             let now = host.clock(self.now);
             for (shard, _) in host.core.ownership().held_shards() {
-                if host.core.ownership().right(shard, now).is_none() {
+                if host.core.ownership().acceptance_right(shard, now).is_none() {
                     continue;
                 }
                 if let Some(other) = owners.insert(shard, host) {
-                    let other_view = other.core.ownership().describe(shard);
-                    let host_view = host.core.ownership().describe(shard);
+                    let other_view = other.core.ownership().describe_shard(shard);
+                    let host_view = host.core.ownership().describe_shard(shard);
                     found.push(format!(
                         "shard {shard} at {now:?}: {} {other_view}, and {} {host_view}",
                         other.name, host.name
--- a/crates/entry-sim/src/report.rs
+++ b/crates/entry-sim/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gannetridge_entry_core::Waste;
+use gannetridge_entry_core::WastedMessage;
 use gannetridge_wire::Name;
 use hdrhistogram::Histogram;
 
@@ -78,8 +78,8 @@
 
 impl Report {
     /// Counts a wasted message.
-    pub fn count_wasted(&mut self, waste: Waste) {
-        *self.wasted.entry(waste.as_str()).or_default() += 1;
+    pub fn count_wasted(&mut self, message: WastedMessage) {
+        *self.wasted.entry(message.as_str()).or_default() += 1;
     }
 
     /// Returns the number of wasted messages of all kinds.
--- a/crates/entry-sim/src/starts.rs
+++ b/crates/entry-sim/src/starts.rs
@@ -3,7 +3,7 @@
 use gannetridge_entry_core::SendFailure;
 use gannetridge_entry_standins::runner::nominal_run_ms;
 use gannetridge_entry_wire::hall::{hall_key, HallRow};
-use gannetridge_entry_wire::target::{AskTask, StartTask, TaskReport};
+use gannetridge_entry_wire::target::{StartTask, TaskQuery, TaskReport};
 use gannetridge_entry_wire::{TaskId, Time};
 
 use crate::checks::Violation;
@@ -103,9 +103,9 @@
             SimEvent::LeaseExpired(start.task.clone()),
         );
         let sim_runner = &self.runners[runner];
-        let usual_run_ms = nominal_run_ms(&start.input) as f64 * sim_runner.slowdown;
-        let ran_ms = (usual_run_ms as u64).min(start.lease_ms);
-        let report = if usual_run_ms as u64 <= start.lease_ms {
+        let full_run_ms = nominal_run_ms(&start.input) as f64 * sim_runner.slowdown;
+        let ran_ms = (full_run_ms as u64).min(start.lease_ms);
+        let report = if full_run_ms as u64 <= start.lease_ms {
             TaskReport::Done {
                 output: start.input,
                 ran_ms,
@@ -161,7 +161,7 @@
         // A host that has taken its own shard back may still finish its older jobs.
         let own = shard.holder.as_ref() == Some(&host.core.settings().id);
         if acts_as_owner && !own && start.epoch < shard.fence {
-            let host_view = host.core.ownership().describe(start.shard.index);
+            let host_view = host.core.ownership().describe_shard(start.shard.index);
             let text = format!(
                 "{} by {} at {:?}, to begin by {:?} under {:?}; table {shard:?}; host {host_view}",
                 start.task, host.name, self.now, start.latest_begin, start.epoch
@@ -192,7 +192,7 @@
         }
     }
 
-    pub(crate) fn on_ask(&mut self, runner: usize, from: OutgoingCall, ask: AskTask) {
+    pub(crate) fn on_task_query(&mut self, runner: usize, from: OutgoingCall, query: TaskQuery) {
         let sim_runner = &mut self.runners[runner];
         if !sim_runner.alive {
             let failure = SendFailure::Unknown;
@@ -205,13 +205,20 @@
         }
         if sim_runner.paused_until > self.now {
             let us = sim_runner.paused_until.micros_since(self.now);
-            return self.schedule(us, SimEvent::Ask { runner, from, ask });
+            return self.schedule(
+                us,
+                SimEvent::TaskQuery {
+                    runner,
+                    from,
+                    query,
+                },
+            );
         }
-        let mut report = sim_runner.tasks.query(&ask);
-        if report == TaskReport::Running && ask.stop {
+        let mut report = sim_runner.tasks.query(&query);
+        if report == TaskReport::Running && query.stop {
             report = TaskReport::Failed { ran_ms: 0 };
-            sim_runner.tasks.record_end(&ask.task, report.clone());
-            self.checks.record_end(&ask.task);
+            sim_runner.tasks.record_end(&query.task, report.clone());
+            self.checks.record_end(&query.task);
             report = TaskReport::Running;
         }
         self.send_task_report(runner, from, report);
@@ -244,10 +251,10 @@
         }
         sim_runner.open_calls.retain(|call| *call != to);
         let stopped = sim_runner.tasks.end_report(&task);
-        let lapsed = self.now > lease_end;
+        let lease_expired = self.now > lease_end;
         let report = match stopped {
             Some(report) => report,
-            None if lapsed => TaskReport::Failed { ran_ms: 0 },
+            None if lease_expired => TaskReport::Failed { ran_ms: 0 },
             None => report,
         };
         sim_runner.tasks.record_end(&task, report.clone());
--- a/crates/entry-sim/src/world.rs
+++ b/crates/entry-sim/src/world.rs
@@ -5,7 +5,7 @@
 use gannetridge_entry_core::{ChangeAnswer, Event, SendFailure};
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_entry_wire::platform::{TableFailure, TableOp, TableResult};
-use gannetridge_entry_wire::target::{AskTask, StartTask, TaskReport};
+use gannetridge_entry_wire::target::{StartTask, TaskQuery, TaskReport};
 use gannetridge_entry_wire::{TaskId, Time};
 use gannetridge_wire::Name;
 use rand::SeedableRng;
@@ -52,10 +52,10 @@
         from: OutgoingCall,
         start: Box<StartTask>,
     },
-    Ask {
+    TaskQuery {
         runner: usize,
         from: OutgoingCall,
-        ask: AskTask,
+        query: TaskQuery,
     },
     TaskEnd {
         runner: usize,
@@ -237,7 +237,11 @@
                 from,
                 start,
             } => self.on_start(runner, incarnation, from, *start),
-            SimEvent::Ask { runner, from, ask } => self.on_ask(runner, from, ask),
+            SimEvent::TaskQuery {
+                runner,
+                from,
+                query,
+            } => self.on_task_query(runner, from, query),
             SimEvent::TaskEnd {
                 runner,
                 incarnation,
--- a/crates/entry-sim/tests/invariants.rs
+++ b/crates/entry-sim/tests/invariants.rs
@@ -55,7 +55,7 @@
     let seeds: Vec<u64> = (1..=40).collect();
     for mutant in ALL.iter().filter(|m| m.name != "begin limit") {
         let mut safeguards = Safeguards::default();
-        (mutant.remove)(&mut safeguards);
+        (mutant.disable)(&mut safeguards);
         let found = map(&seeds, |seed| violations(*seed, safeguards));
         assert!(
             found.iter().any(|v| !v.is_empty()),
--- a/crates/entry-standins/src/runner.rs
+++ b/crates/entry-standins/src/runner.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use gannetridge_entry_wire::target::{AskTask, StartRefusal, StartTask, TaskReport};
+use gannetridge_entry_wire::target::{StartRefusal, StartTask, TaskQuery, TaskReport};
 use gannetridge_entry_wire::{Epoch, ShardId, TaskId, Time};
 use serde::{Deserialize, Serialize};
 
@@ -117,22 +117,22 @@
     ///
     /// A start sent before this process started, with regard to the clock skew,
     /// may have reached its predecessor, so that the task may have run.
-    pub fn query(&mut self, ask: &AskTask) -> TaskReport {
-        match self.tasks.get_mut(&ask.task) {
+    pub fn query(&mut self, query: &TaskQuery) -> TaskReport {
+        match self.tasks.get_mut(&query.task) {
             Some(TaskState::Running { stop }) => {
-                *stop |= ask.stop;
+                *stop |= query.stop;
                 TaskReport::Running
             }
             Some(TaskState::Ended(report)) => report.clone(),
             None => {
-                let may_have_run = ask.sent < self.started_at.plus_millis(MAX_CLOCK_SKEW_MS);
+                let may_have_run = query.sent < self.started_at.plus_millis(MAX_CLOCK_SKEW_MS);
                 let report = if may_have_run {
                     TaskReport::Over
                 } else {
-                    TaskReport::NeverBegun
+                    TaskReport::NeverStarted
                 };
                 let state = TaskState::Ended(report.clone());
-                self.tasks.insert(ask.task.clone(), state);
+                self.tasks.insert(query.task.clone(), state);
                 report
             }
         }
@@ -187,7 +187,7 @@
         for (id, state) in &self.tasks {
             let never_started = matches!(
                 state,
-                TaskState::Ended(TaskReport::NeverBegun | TaskReport::Over)
+                TaskState::Ended(TaskReport::NeverStarted | TaskReport::Over)
             );
             if !never_started {
                 let task = (&id.account, &id.submission, id.index);
--- a/crates/entry-standins/src/worker.rs
+++ b/crates/entry-standins/src/worker.rs
@@ -96,8 +96,8 @@
                 Err(error) => bad_request(&error),
             },
             "/v1/tasks/ask" => match serde_json::from_slice(&req.body) {
-                Ok(ask) => {
-                    let report = self.state.borrow_mut().runner.query(&ask);
+                Ok(query) => {
+                    let report = self.state.borrow_mut().runner.query(&query);
                     self.reply(report).await
                 }
                 Err(error) => bad_request(&error),
--- a/crates/entry-standins/tests/runner.rs
+++ b/crates/entry-standins/tests/runner.rs
@@ -1,7 +1,7 @@
 //! The rules by which the runner's stand-in starts tasks and answers queries.
 
 use gannetridge_entry_standins::runner::Runner;
-use gannetridge_entry_wire::target::{AskTask, StartRefusal, StartTask, TaskReport};
+use gannetridge_entry_wire::target::{StartRefusal, StartTask, TaskQuery, TaskReport};
 use gannetridge_entry_wire::{Epoch, ShardId, TaskId, Time};
 
 const NOW: Time = Time::from_millis(1_000_000);
@@ -32,8 +32,8 @@
     }
 }
 
-fn ask(index: u32, sent: Time) -> AskTask {
-    AskTask {
+fn query(index: u32, sent: Time) -> TaskQuery {
+    TaskQuery {
         task: task(index),
         sent,
         stop: false,
@@ -72,14 +72,14 @@
 #[test]
 fn a_task_is_not_started_after_a_query_for_it() {
     let mut runner = Runner::new(8);
-    assert_eq!(runner.query(&ask(0, NOW)), TaskReport::NeverBegun);
+    assert_eq!(runner.query(&query(0, NOW)), TaskReport::NeverStarted);
     assert_eq!(
         runner.start(&start(0, 1, 0), NOW),
-        Err(TaskReport::NeverBegun)
+        Err(TaskReport::NeverStarted)
     );
 }
 
-/// A repeated query answered with `NeverBegun` would lead to a second start of a
+/// A repeated query answered with `NeverStarted` would lead to a second start of a
 /// task that may have run before the restart.
 #[test]
 fn a_restarted_runner_reports_over_for_every_query() {
@@ -87,6 +87,6 @@
     assert_eq!(runner.start(&start(0, 1, 0), NOW), Ok(()));
     runner.restart(NOW.plus_millis(5));
     for _ in 0..3 {
-        assert_eq!(runner.query(&ask(0, NOW)), TaskReport::Over);
+        assert_eq!(runner.query(&query(0, NOW)), TaskReport::Over);
     }
 }
--- a/crates/entry-wire/src/peer.rs
+++ b/crates/entry-wire/src/peer.rs
@@ -48,7 +48,7 @@
 /// The free slots that a host can lend, sent along with other messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Spare {
+pub struct LendableSlots {
     /// Slots that it can lend for tasks within their accounts' quotas.
     pub free: u32,
     /// Slots that it can lend for tasks beyond their accounts' quotas.
@@ -72,7 +72,7 @@
     /// The shards of its hall that the sender holds, with their epochs.
     pub shards: Vec<(u16, Epoch)>,
     /// The slots that the sender can lend or needs.
-    pub spare: Spare,
+    pub spare: LendableSlots,
     /// The slots in use by each account: through the sender alone if the
     /// receiver is in the same hall, else through the sender's whole hall.
     pub usage: Vec<(Name, u32)>,
@@ -256,7 +256,7 @@
         /// The answer for the caller.
         answer: Answer,
         /// The slots that the replying host could lend at that time.
-        spare: Spare,
+        spare: LendableSlots,
     },
     /// The replying host did nothing: it doesn't hold the shard, or has received
     /// the request before.
@@ -280,7 +280,7 @@
         /// No task may be started on a lent slot after this time.
         until: Time,
         /// The slots that the lender can lend beyond these.
-        spare: Spare,
+        spare: LendableSlots,
     },
     /// The request was carried out.
     Done,
--- a/crates/entry-wire/src/target.rs
+++ b/crates/entry-wire/src/target.rs
@@ -73,7 +73,8 @@
     /// The task was started and hasn't ended.
     Running,
     /// The target never started the task and never will.
-    NeverBegun,
+    #[serde(rename = "never-begun")]
+    NeverStarted,
     /// The task isn't running and won't be started, but may have run before the
     /// target restarted.
     Over,
@@ -83,7 +84,7 @@
 /// it never starts it afterwards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct AskTask {
+pub struct TaskQuery {
     /// The run that the question is about.
     pub task: TaskId,
     /// When [`StartTask`] was sent, on the sender's clock. A target that was
--- a/crates/entry-wire/tests/codec.rs
+++ b/crates/entry-wire/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Encoding of messages between hosts, and parsing of submission ids.
 
 use gannetridge_entry_wire::answer::{Refusal, TaskResult};
-use gannetridge_entry_wire::peer::{PeerReply, PeerRequest, Spare};
+use gannetridge_entry_wire::peer::{LendableSlots, PeerReply, PeerRequest};
 use gannetridge_entry_wire::{
     Answer, FailureCause, HostId, Rejection, RunStatus, Submission, SubmissionId, SubmissionIdError,
 };
@@ -27,7 +27,7 @@
     ($($name:ident: $answer:expr;)+) => {
         $(#[test]
         fn $name() {
-            let spare = Spare { free: 3, surplus: 1, waits: true };
+            let spare = LendableSlots { free: 3, surplus: 1, waits: true };
             let reply = PeerReply::Answer { answer: $answer, spare };
             let bytes = encode(&reply).expect("encodable");
             let decoded: PeerReply = decode(&bytes).expect("decodable");
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -8,7 +8,7 @@
 use gannetridge_entry_core::{CallId, Event, SendFailure};
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_entry_wire::platform::{TableFailure, TableOp, TableResult, TargetList};
-use gannetridge_entry_wire::target::{AskTask, StartTask, TaskReport};
+use gannetridge_entry_wire::target::{StartTask, TaskQuery, TaskReport};
 use gannetridge_net::{CallError, Client};
 use gannetridge_wire::codec;
 use http::{Method, StatusCode};
@@ -107,8 +107,8 @@
     }
 
     /// Asks a target for the state of a task. The reply becomes an [`Event::TaskReply`].
-    pub fn ask_task(&self, call: CallId, address: &str, ask: &AskTask, wait_ms: u64) {
-        self.call_target(call, address, "/v1/tasks/ask", to_json(ask), wait_ms);
+    pub fn query_task(&self, call: CallId, address: &str, query: &TaskQuery, wait_ms: u64) {
+        self.call_target(call, address, "/v1/tasks/ask", to_json(query), wait_ms);
     }
 
     fn call_target(
--- a/crates/entry/src/core_task.rs
+++ b/crates/entry/src/core_task.rs
@@ -3,7 +3,9 @@
 
 use std::collections::HashMap;
 
-use gannetridge_entry_core::{Action, ChangeAnswer, ChangeRequest, Event, Host, Note, Token};
+use gannetridge_entry_core::{
+    Action, ChangeAnswer, ChangeRequest, Event, Host, RequestToken, TelemetryEvent,
+};
 use gannetridge_entry_wire::peer::{PeerReply, PeerRequest};
 use gannetridge_entry_wire::{Answer, Submission};
 use local_sync::{mpsc::unbounded, oneshot};
@@ -48,7 +50,7 @@
     rx: unbounded::Rx<Message>,
     requests: RequestSender,
     metrics: Metrics,
-    open_requests: HashMap<Token, ReplyChannel>,
+    open_requests: HashMap<RequestToken, ReplyChannel>,
     last_token: u64,
     stopped: bool,
 }
@@ -125,9 +127,9 @@
         }
     }
 
-    fn register_request(&mut self, reply_channel: ReplyChannel) -> Token {
+    fn register_request(&mut self, reply_channel: ReplyChannel) -> RequestToken {
         self.last_token += 1;
-        let token = Token(self.last_token);
+        let token = RequestToken(self.last_token);
         self.open_requests.insert(token, reply_channel);
         token
     }
@@ -176,26 +178,26 @@
                 self.metrics.count_start();
                 self.requests.start_task(call, &address, &start, wait_ms);
             }
-            Action::Ask {
+            Action::Query {
                 call,
                 address,
-                ask,
+                query,
                 wait_ms,
-            } => self.requests.ask_task(call, &address, &ask, wait_ms),
+            } => self.requests.query_task(call, &address, &query, wait_ms),
             Action::Table { call, op } => self.requests.call_table(call, &op),
             Action::ReadList { after } => self.requests.read_list(after),
-            Action::Note(note) => {
-                log_note(&note);
-                self.metrics.record_note(&note);
+            Action::Telemetry(event) => {
+                log_telemetry(&event);
+                self.metrics.record_telemetry(&event);
             }
             Action::Stopped => self.stopped = true,
         }
     }
 }
 
-fn log_note(note: &Note) {
-    match note {
-        Note::Finished {
+fn log_telemetry(event: &TelemetryEvent) {
+    match event {
+        TelemetryEvent::Finished {
             account,
             urgency,
             complete,
@@ -205,10 +207,10 @@
             let class = urgency.as_str();
             debug!(%account, class, complete, response_us, ideal_us, "job ended");
         }
-        Note::Refused { account } => info!(%account, "request refused as not run"),
-        Note::Wasted(waste) => debug!(kind = waste.as_str(), "message wasted"),
-        Note::ShardAcquired { shard, epoch } => info!(shard, epoch, "shard acquired"),
-        Note::ShardReleased { shard } => info!(shard, "shard released"),
-        Note::ConfigInForce { version } => info!(version, "configuration took effect"),
+        TelemetryEvent::Refused { account } => info!(%account, "request refused as not run"),
+        TelemetryEvent::Wasted(waste) => debug!(kind = waste.as_str(), "message wasted"),
+        TelemetryEvent::ShardAcquired { shard, epoch } => info!(shard, epoch, "shard acquired"),
+        TelemetryEvent::ShardReleased { shard } => info!(shard, "shard released"),
+        TelemetryEvent::ConfigInForce { version } => info!(version, "configuration took effect"),
     }
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The host's metrics, served in the Prometheus text format.
 
-use gannetridge_entry_core::{Host, Note};
+use gannetridge_entry_core::{Host, TelemetryEvent};
 use gannetridge_net::HttpReply;
 use gannetridge_process::metrics::{MetricsRegistry, TargetInfo};
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
@@ -74,10 +74,10 @@
         self.starts.add(1, &[]);
     }
 
-    /// Updates counters and histograms with a note of the host.
-    pub fn record_note(&self, note: &Note) {
-        match note {
-            Note::Finished {
+    /// Updates counters and histograms with a telemetry event of the host.
+    pub fn record_telemetry(&self, event: &TelemetryEvent) {
+        match event {
+            TelemetryEvent::Finished {
                 account,
                 urgency,
                 complete,
@@ -95,16 +95,16 @@
                     self.ratio.record(response / *ideal_us as f64, &labels);
                 }
             }
-            Note::Refused { account } => {
+            TelemetryEvent::Refused { account } => {
                 self.refused
                     .add(1, &[KeyValue::new("account", account.to_string())]);
             }
-            Note::Wasted(waste) => {
+            TelemetryEvent::Wasted(waste) => {
                 self.wasted.add(1, &[KeyValue::new("kind", waste.as_str())]);
             }
-            Note::ShardAcquired { .. }
-            | Note::ShardReleased { .. }
-            | Note::ConfigInForce { .. } => {}
+            TelemetryEvent::ShardAcquired { .. }
+            | TelemetryEvent::ShardReleased { .. }
+            | TelemetryEvent::ConfigInForce { .. } => {}
         }
     }
 
--- a/crates/lab/src/cmd/mutants.rs
+++ b/crates/lab/src/cmd/mutants.rs
@@ -42,7 +42,7 @@
     println!("|---|---|---|---|");
     for mutant in ALL {
         let mut safeguards = Safeguards::default();
-        (mutant.remove)(&mut safeguards);
+        (mutant.disable)(&mut safeguards);
         match search(options, safeguards) {
             SearchResult::Detected {
                 events,
