--- a/crates/entry-core/src/directory.rs
+++ b/crates/entry-core/src/directory.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns the addresses to try for a submission of the shard: the reported holder,
-    /// the holder in the row, then the other hosts of its hall, which may know better.
+    /// the holder in the row, then the other hosts of its hall, which may know the holder.
     #[must_use]
     pub fn candidates(&self, shard: &ShardId) -> Vec<Name> {
         let mut addresses = Vec::new();
--- a/crates/entry-core/src/host/borrow.rs
+++ b/crates/entry-core/src/host/borrow.rs
@@ -60,8 +60,8 @@
         self.lendable = lendable;
     }
 
-    /// Records that the peer couldn't be reached.
-    pub(super) fn mark_unreachable(&mut self) {
+    /// Records that the peer gave no usable reply; no slots are assumed available there.
+    pub(super) fn clear_lendable(&mut self) {
         self.lendable = LendableSlots::default();
     }
 
@@ -82,8 +82,8 @@
         allowed.map(|p| p.lender.lendable.free).sum()
     }
 
-    /// Returns an equal part of the usable slots of some halls per known host. Used by a
-    /// host that has no share of its own.
+    /// Returns the usable slots of some halls divided by the number of known hosts, as an
+    /// estimate for a host without usable slots of its own.
     pub(super) fn equal_part_of(&self, halls: &[Name]) -> u32 {
         let usable = self
             .targets
@@ -116,8 +116,8 @@
             return;
         }
         let halls = self.halls_of_waiting_jobs();
-        let mut known = Vec::new();
-        let mut unknown = Vec::new();
+        let mut with_free = Vec::new();
+        let mut without_free = Vec::new();
         for (address, peer) in &self.peers {
             if peer.lender.expected_slots.is_some() || !halls.contains(&peer.hall) {
                 continue;
@@ -130,15 +130,16 @@
                 lendable.free
             };
             if free > 0 {
-                known.push((remote, u32::MAX - free, address.clone()));
+                // Sorts the own hall first, then the most free slots.
+                with_free.push((remote, u32::MAX - free, address.clone()));
             } else if !over_quota && !lendable.waits && self.now >= peer.lender.not_before {
-                // Random order, so that hosts don't all ask the same peer.
-                let any: u32 = self.rng.random();
-                unknown.push((lendable.waits, remote, any, address.clone()));
+                // Random order, so that hosts don't all send their requests to the same peer.
+                let tie_break: u32 = self.rng.random();
+                without_free.push((lendable.waits, remote, tie_break, address.clone()));
             }
         }
-        known.sort();
-        for (_, inverted_free, address) in known {
+        with_free.sort();
+        for (_, inverted_free, address) in with_free {
             if missing == 0 {
                 return;
             }
@@ -146,10 +147,10 @@
             self.send_borrow_request(address, free.min(missing), free.min(missing), over_quota);
             missing = missing.saturating_sub(free);
         }
-        unknown.sort_unstable();
+        without_free.sort_unstable();
         let tasks_per_request = self.settings.tuning.tasks_per_question.max(1);
         let request_count = missing / tasks_per_request;
-        for (.., address) in unknown.into_iter().take(request_count as usize) {
+        for (.., address) in without_free.into_iter().take(request_count as usize) {
             self.send_borrow_request(address, missing, tasks_per_request, false);
         }
     }
@@ -178,7 +179,7 @@
         );
     }
 
-    /// Returns the halls that jobs with waiting tasks may use.
+    /// Returns the halls that the first few jobs with waiting tasks may use.
     fn halls_of_waiting_jobs(&self) -> BTreeSet<Name> {
         let waiting = self.jobs.values().filter(|job| !job.waiting.is_empty());
         let halls = waiting
@@ -202,7 +203,7 @@
             peer.lender.expected_slots = None;
             match &lent {
                 Some((.., spare)) => peer.lender.update(*spare),
-                None => peer.lender.mark_unreachable(),
+                None => peer.lender.clear_lendable(),
             }
         }
         let lent = lent.filter(|(_, grants, ..)| !grants.is_empty());
@@ -222,7 +223,7 @@
         self.add_loan(key, &grants, until);
     }
 
-    /// Adds a loan.
+    /// Adds the slots that a peer lent.
     fn add_loan(&mut self, key: LoanKey, grants: &[Grant], until: Time) {
         // Slots of an unknown target can't be used. They return to the lender when the loan
         // is overdue.
--- a/crates/entry-core/src/host/forward.rs
+++ b/crates/entry-core/src/host/forward.rs
@@ -169,7 +169,7 @@
                 self.forward_next(key, None);
             }
             Err(SendFailure::Unknown) => {
-                // The holder's ledger makes a repeated sending safe.
+                // The holder's ledger makes a repeated attempt safe.
                 forward.maybe_handled = true;
                 self.record_wasted(WastedMessage::Lost);
                 self.end_round(key);
--- a/crates/entry-core/src/host/handover.rs
+++ b/crates/entry-core/src/host/handover.rs
@@ -23,7 +23,7 @@
 /// Wait before the row is read after a handover, in ms; gives the new holder time to
 /// write it.
 const ROW_READ_DELAY_MS: u64 = 50;
-/// Wait after a declined handover, in ms.
+/// Wait after a declined or unsent handover, in ms.
 const DECLINED_PAUSE_MS: u64 = 500;
 
 /// A submission that waits for the end of its shard's handover.
@@ -52,10 +52,10 @@
 struct PendingHandover {
     address: Name,
     handover: Box<Handover>,
-    /// True once a sending has an unknown outcome: the peer may have accepted.
+    /// True once an attempt has an unknown outcome: the peer may have accepted.
     maybe_accepted: bool,
-    /// True while a reply is pending. Two sendings at a time could result in one that
-    /// fails and one that is accepted.
+    /// True while a reply is pending. Of two attempts in flight at a time, one could
+    /// fail and the other be accepted.
     reply_pending: bool,
 }
 
@@ -125,9 +125,9 @@
         let shard = self.ownership.first_transferable_shard()?;
         let hall = &self.settings.hall;
         let mut hall_peers = self.peers.iter().filter(|(_, p)| p.hall == *hall);
-        let lately = self.now.minus_millis(2 * self.settings.tuning.heartbeat_ms);
+        let recent_since = self.now.minus_millis(2 * self.settings.tuning.heartbeat_ms);
         let (address, peer) =
-            hall_peers.find(|(_, p)| p.last_status >= lately && p.id.is_some())?;
+            hall_peers.find(|(_, p)| p.last_status >= recent_since && p.id.is_some())?;
         Some((shard, peer.id.clone()?, address.clone()))
     }
 
--- a/crates/entry-core/src/host/heartbeat.rs
+++ b/crates/entry-core/src/host/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between hosts: liveness, held shards, spare slots, usage and promises.
+//! Heartbeats between hosts: liveness, held shards, lendable slots, usage and promises.
 
 use std::collections::BTreeSet;
 
@@ -192,7 +192,7 @@
             }
             _ => {
                 if let Some(peer) = self.peers.get_mut(address) {
-                    peer.lender.mark_unreachable();
+                    peer.lender.clear_lendable();
                 }
             }
         }
--- a/crates/entry-core/src/host/lend.rs
+++ b/crates/entry-core/src/host/lend.rs
@@ -11,8 +11,8 @@
 use crate::event::RequestToken;
 use crate::settings::Placement;
 
-/// Divisor for the part of a host's slots that it doesn't lend to tasks over their
-/// quota. For other tasks nothing is kept back.
+/// A host keeps this fraction of its slots, `1 / RESERVED_DIVISOR`, from peers' tasks that
+/// are over their quota.
 const RESERVED_DIVISOR: u32 = 2;
 /// Longest time for which a borrow request waits, in ms.
 const MAX_WAIT_MS: u64 = 2_000;
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Lends `count` slots, or as many of them as are free, and replies.
+    /// Lends `count` slots, or fewer if no more are free, and replies.
     fn lend(&mut self, token: RequestToken, count: u32) {
         let until = self.now.plus_millis(self.settings.tuning.loan_ms);
         let rng = &mut self.rng;
--- a/crates/entry-core/src/host/quotas.rs
+++ b/crates/entry-core/src/host/quotas.rs
@@ -46,8 +46,9 @@
 }
 
 impl Host {
-    /// Returns an account's quota and its use elsewhere. The part that corresponds to this
-    /// host's share of shards is left to it in any case.
+    /// Returns an account's quota and its use through other hosts. The minimum is the part of
+    /// the quota that corresponds to this host's shards, at least one slot, whatever the
+    /// others use.
     pub(super) fn quota(&self, name: &Name, account: &Account) -> Quota {
         let quota = f64::from(account.quota_slots);
         let halls = account.halls.len() as f64;
--- a/crates/entry-core/src/host/run.rs
+++ b/crates/entry-core/src/host/run.rs
@@ -40,8 +40,9 @@
     pub(super) source: SlotSource,
     pub(super) expected_ms: u32,
     pub(super) sent: Time,
+    /// When the run's lease has expired on every clock.
     pub(super) lease_expired_at: Time,
-    /// True once the target is queried about the run.
+    /// True once a status query about the run was needed.
     pub(super) queried: bool,
     /// True once the target was requested to stop the run.
     pub(super) stop_requested: bool,
--- a/crates/entry-core/src/host/submit.rs
+++ b/crates/entry-core/src/host/submit.rs
@@ -161,7 +161,7 @@
     }
 
     /// Refuses a new submission as its shard's owner. The refusal also covers earlier
-    /// sendings that are still in flight.
+    /// attempts that are still in flight.
     pub(super) fn refuse_new(
         &mut self,
         waiter: Waiter,
@@ -195,7 +195,7 @@
     }
 
     /// Returns the answer to a submission whose shard has no known owner. It is `not run`
-    /// only if no earlier sending can have been started.
+    /// only if no earlier attempt can have been started.
     pub(super) fn no_owner_answer(&mut self, waiter: Waiter, submission: &Submission) -> Answer {
         let retry_after_ms = spread_ms(&mut self.rng, RETRY_AFTER_MS);
         if matches!(waiter, Waiter::PeerRetry(_)) || !self.is_first_attempt(submission) {
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Returns true if no other sending of the submission can exist: the caller marks it
+    /// Returns true if no other attempt of the submission can exist: the caller marks it
     /// as the first, and its id is too recent for a resend.
     fn is_first_attempt(&self, submission: &Submission) -> bool {
         let tuning = &self.settings.tuning;
--- a/crates/entry-core/src/host/updates.rs
+++ b/crates/entry-core/src/host/updates.rs
@@ -22,7 +22,7 @@
 const UPDATE_RETRY_MS: u64 = 200;
 /// Largest number of attempts to send an update.
 const MAX_UPDATE_ATTEMPTS: u32 = 10;
-/// Time after its deadline at which a job that runs elsewhere is failed, in ms.
+/// Time after its deadline at which a job that runs at another host is failed, in ms.
 const OTHER_HOST_GRACE_MS: u64 = 3_000;
 
 /// The records to send to a shard's new holder.
@@ -47,7 +47,7 @@
         self.queue_update(job.authority.shard, record);
     }
 
-    /// Adds a record for a shard's new holder, if there is one, and plans its sending.
+    /// Adds a record for a shard's new holder, if there is one, and schedules the update.
     pub(super) fn queue_update(&mut self, shard: u16, record: LedgerRecord) {
         if !self.is_handing_over(shard) && !self.handovers.new_holders.contains_key(&shard) {
             return;
--- a/crates/entry-core/src/ledger.rs
+++ b/crates/entry-core/src/ledger.rs
@@ -29,12 +29,13 @@
 pub enum EntryState {
     /// The job runs on this host.
     Running(JobKey),
-    /// The job runs at the host that handed its shard over, until its deadline.
+    /// The job runs at the host that handed its shard over, which reports its end.
+    /// Without that report the submission is failed some time after its deadline.
     RunsOnOtherHost,
     /// The job ended with this final answer.
     Ended(Arc<Answer>),
-    /// The submission was refused as not run. This covers all sendings up to the
-    /// entry's `attempt`; a later sending may run.
+    /// The submission was refused as not run. This covers all attempts up to the
+    /// entry's `attempt`; a later one may run.
     Refused,
 }
 
@@ -53,7 +54,7 @@
     pub digest: u128,
     /// The submission's state.
     pub state: EntryState,
-    /// The highest sending number received.
+    /// The highest attempt number received.
     pub attempt: u32,
     /// The job's deadline.
     pub deadline: Time,
@@ -114,13 +115,13 @@
         self.entries.values().any(|entry| !entry.waiters.is_empty())
     }
 
-    /// Removes the entry of a submission that was not run after all.
+    /// Removes the entry of a refused submission, so that a later attempt is handled as new.
     pub fn remove(&mut self, key: &EntryKey) {
         self.entries.remove(key);
     }
 
-    /// Removes entries that are past their retention and deadline, except those of jobs
-    /// that still run.
+    /// Removes entries that are past their retention and deadline, except those whose
+    /// submission has no answer yet.
     pub fn remove_expired(&mut self, now: Time) {
         let step = now.as_millis() / EXPIRY_STEP_MS;
         while let Some(first) = self.by_expiry.first_entry() {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Returns the records that a new owner of the shard needs, by submission id.
+    /// Returns the records that a new owner of the shard needs, ordered by submission id.
     #[must_use]
     pub fn records_of(&self, shard: u16) -> Vec<LedgerRecord> {
         let of_shard = self
@@ -176,7 +177,7 @@
             }
             entry.attempt = entry.attempt.max(record.attempt);
             let Some(answer) = answer else {
-                // A later sending than the refused one runs at the sender.
+                // A later attempt than the refused one runs at the sender.
                 entry.state = EntryState::RunsOnOtherHost;
                 entry.digest = record.digest;
                 return Some(Vec::new());
--- a/crates/entry-core/src/ownership/handover.rs
+++ b/crates/entry-core/src/ownership/handover.rs
@@ -36,8 +36,8 @@
     }
 
     /// Returns true if the row lets every member take over from this host. While a
-    /// handover is unsettled, members that joined since are kept from that, so no handover
-    /// may be started before.
+    /// handover is unsettled, members that joined since can't, so the next handover
+    /// has to wait.
     pub(super) fn all_members_may_take_over(&self) -> bool {
         let newest = self.row.members.iter().map(|m| m.joined).max();
         let mine = self.row.member(&self.own_id);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns a possible successor with its known address.
+    /// Returns a takeover candidate with its last known address, or an empty one.
     fn candidate(&self, id: &HostId) -> TakeoverCandidate {
         let address = self.incarnations.address(id).cloned();
         TakeoverCandidate {
--- a/crates/entry-core/src/ownership/mod.rs
+++ b/crates/entry-core/src/ownership/mod.rs
@@ -53,7 +53,8 @@
     table_until: Time,
     /// The latest time to which promises may extend the lease.
     limit: Time,
-    /// The hosts that may take over from the holder.
+    /// The hosts that may take over from the holder; the lease is extended only
+    /// if each has promised not to, has ended or has resigned.
     takers: BTreeSet<HostId>,
     /// No later incarnation of the holder takes its shards over before this time;
     /// `Time::MAX` for this host's own lease.
--- a/crates/entry-core/src/ownership/promises.rs
+++ b/crates/entry-core/src/ownership/promises.rs
@@ -29,7 +29,8 @@
         leases.any(|(holder, lease)| *holder != self.own_id || lease.table_until < by)
     }
 
-    /// Gives those of the requested promises that this host can keep, and returns them.
+    /// Gives the requested promises, except for holders that a pending write takes shards
+    /// from, and returns those given. Each lasts for a lease plus the clock skew at most.
     pub fn grant_promises(&mut self, wanted: &[PromiseRequest], now: Time) -> Vec<PromiseRequest> {
         let longest = now.plus_millis(self.tuning.lease_ms + self.tuning.skew_ms);
         let mut promised = Vec::new();
@@ -59,6 +60,7 @@
             let key = (promise.holder.clone(), peer.clone());
             let until = self.promises_received.entry(key).or_default();
             *until = (*until).max(promise.until);
+            // The holder itself or another incarnation of it promised.
             if peer.name == promise.holder.name {
                 if let Some(lease) = self.leases.get_mut(&promise.holder) {
                     lease.heir_until = lease.heir_until.max(promise.until);
--- a/crates/entry-core/src/ownership/table.rs
+++ b/crates/entry-core/src/ownership/table.rs
@@ -54,7 +54,8 @@
         Some(row)
     }
 
-    /// Adds the lease that a host without one has once its write takes effect.
+    /// Adds this host's own lease as the row to be written has it, if there is none yet: the
+    /// write may take effect without a reply.
     pub(super) fn assume_own_lease(&mut self, row: &HallRow) {
         let me = self.own_id.clone();
         let Some(mine) = row.member(&me).filter(|_| !self.leases.contains_key(&me)) else {
--- a/crates/entry-core/src/settings.rs
+++ b/crates/entry-core/src/settings.rs
@@ -16,7 +16,8 @@
     Shares,
     /// The less loaded of two random targets, by the host's own count and the listed usage.
     PowerOfTwo,
-    /// The target with the fewest tasks of this host.
+    /// The target with the largest part of its slots free of this host's tasks; slow ones
+    /// last.
     LeastInFlight,
     /// The targets in turn.
     RoundRobin,
@@ -52,7 +53,7 @@
     pub retention_ms: u64,
     /// Shortest time after which callers resend a request.
     pub min_resend_ms: u64,
-    /// Longest time from the sending of a start to the start of the task.
+    /// Longest time from when a start is sent to the start of the task.
     pub begin_window_ms: u64,
     /// A task's lease as a multiple of its expected run time.
     pub lease_factor: u64,
@@ -92,8 +93,8 @@
     }
 }
 
-/// Safety mechanisms. Tests disable single ones to show that their checks detect it;
-/// they aren't part of any settings file.
+/// Safety mechanisms. Tests disable single ones to show that the checks detect their
+/// absence; they aren't part of any settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// A host starts nothing under an expired right to a shard.
@@ -114,7 +115,7 @@
     pub ledger: bool,
     /// A handover is accepted once, by the incarnation that it is addressed to.
     pub accept_handover_once: bool,
-    /// A refusal as not run is sent only if no earlier sending can exist.
+    /// A refusal as not run is sent only if no earlier attempt can exist.
     pub first_attempt_check: bool,
     /// A job completes only when all its tasks have.
     pub require_all_tasks: bool,
--- a/crates/entry-sim/src/checks.rs
+++ b/crates/entry-sim/src/checks.rs
@@ -69,11 +69,11 @@
 impl Checks {
     /// Records a violation.
     pub fn record_violation(&mut self, violation: Violation) {
-        const MAX_KEPT: usize = 50;
+        const MAX_KEPT_VIOLATIONS: usize = 50;
         let text = format!("{violation:?}");
         let kind = text.split('(').next().unwrap_or_default().to_owned();
         *self.counts.entry(kind).or_default() += 1;
-        if self.violations.len() < MAX_KEPT {
+        if self.violations.len() < MAX_KEPT_VIOLATIONS {
             self.violations.push(violation);
         }
     }
--- a/crates/entry-sim/src/mutants.rs
+++ b/crates/entry-sim/src/mutants.rs
@@ -11,7 +11,7 @@
 }
 
 /// All mutants, in the order in which the lab runs them.
-pub const ALL: &[Mutant] = &[
+pub const MUTANTS: &[Mutant] = &[
     Mutant {
         name: "lapse check",
         disable: |s| s.expiry_check = false,
--- a/crates/entry-sim/tests/invariants.rs
+++ b/crates/entry-sim/tests/invariants.rs
@@ -2,7 +2,7 @@
 
 use gannetridge_entry_core::Safeguards;
 use gannetridge_entry_sim::chaos::run_catching_panics;
-use gannetridge_entry_sim::mutants::ALL;
+use gannetridge_entry_sim::mutants::MUTANTS;
 use gannetridge_entry_sim::parallel::map;
 
 const LOAD_MS: u64 = 60_000;
@@ -46,14 +46,15 @@
     assert_eq!(first.causes, second.causes);
 }
 
-/// Shows that the checks above can fail: without any one safeguard, one of a few seeds
-/// finds a violation. The begin limit is left out: it only backs up the takeover cutoff
-/// and the begin window, and its absence doesn't show in short runs.
+/// Shows that the checks above can fail: with any one of the mutants, one of a few seeds
+/// finds a violation. The one without the start time limit is left out: the limit only
+/// backs up the takeover cutoff and the start window, and its absence doesn't show in
+/// short runs.
 #[test]
 fn every_missing_safeguard_is_detected() {
     std::panic::set_hook(Box::new(|_| {}));
     let seeds: Vec<u64> = (1..=40).collect();
-    for mutant in ALL.iter().filter(|m| m.name != "begin limit") {
+    for mutant in MUTANTS.iter().filter(|m| m.name != "begin limit") {
         let mut safeguards = Safeguards::default();
         (mutant.disable)(&mut safeguards);
         let found = map(&seeds, |seed| violations(*seed, safeguards));
--- a/crates/entry-standins/src/list.rs
+++ b/crates/entry-standins/src/list.rs
@@ -8,7 +8,7 @@
 
 /// The number of removed targets to remember. A reader at a version before these
 /// removals gets the complete list.
-const MAX_REMOVED: usize = 4_096;
+const MAX_REMOVED_TARGETS: usize = 4_096;
 
 /// A list of targets that records the version of each change.
 #[derive(Clone, Debug, Default)]
@@ -38,7 +38,7 @@
         for target in targets {
             self.record(target);
         }
-        while self.removed.len() > MAX_REMOVED {
+        while self.removed.len() > MAX_REMOVED_TARGETS {
             if let Some((version, _)) = self.removed.pop_first() {
                 self.discarded_up_to = version;
             }
--- a/crates/entry-wire/src/ids.rs
+++ b/crates/entry-wire/src/ids.rs
@@ -19,7 +19,7 @@
 /// bytes.
 pub const MAX_KEY_BYTES: usize = 96;
 
-/// One incarnation of an entry host; each restart begins a new one.
+/// One incarnation of an entry host; each restart creates a new one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostId {
     /// The name from the host's settings.
--- a/crates/entry-wire/src/peer.rs
+++ b/crates/entry-wire/src/peer.rs
@@ -166,7 +166,7 @@
     /// Submissions whose ids were created up to this time may have been started
     /// by a lost owner.
     pub cutoff: Time,
-    /// When the sender's right to start tasks ends; zero if it has lapsed. A
+    /// When the sender's right to start tasks ends; zero if it has expired. A
     /// handover that arrives later doesn't transfer that right.
     pub valid_until: Time,
     /// The end of the holder's lease in the platform's table.
--- a/crates/entry-wire/src/target.rs
+++ b/crates/entry-wire/src/target.rs
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TaskQuery {
-    /// The run that the question is about.
+    /// The run to report on.
     pub task: TaskId,
     /// When [`StartTask`] was sent, on the sender's clock. A target that was
     /// restarted later can't know whether the task was started.
--- a/crates/lab/src/cmd/mutants.rs
+++ b/crates/lab/src/cmd/mutants.rs
@@ -3,7 +3,7 @@
 use anyhow::bail;
 use gannetridge_entry_core::Safeguards;
 use gannetridge_entry_sim::chaos::run_catching_panics;
-use gannetridge_entry_sim::mutants::ALL;
+use gannetridge_entry_sim::mutants::MUTANTS;
 use gannetridge_entry_sim::parallel::map;
 use gumdrop::Options;
 
@@ -40,7 +40,7 @@
     let mut undetected = Vec::new();
     println!("| missing | found after events | seed | by |");
     println!("|---|---|---|---|");
-    for mutant in ALL {
+    for mutant in MUTANTS {
         let mut safeguards = Safeguards::default();
         (mutant.disable)(&mut safeguards);
         match search(options, safeguards) {
