--- a/crates/dispatcher-core/src/dispatcher/caller_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/caller_requests.rs
@@ -79,7 +79,7 @@
         let own = own_loads.iter().map(|load| (load, 0));
         let loads = own.chain(self.peers.loads(now));
         let loads = loads.filter(|(load, _)| load.pool == queue.pool);
-        let pool = KnownPoolLoad::new(loads, listed_cpu, self.times.heartbeat);
+        let pool = KnownPoolLoad::new(loads, listed_cpu, self.times.heartbeat_ms);
         let mut orders = self.jobs.first_waiting_orders(id).into_iter();
         let target_is_free =
             orders.any(|order| has_free_target(&self.targets, &self.peers, now, &order));
--- a/crates/dispatcher-core/src/dispatcher/owner_leases.rs
+++ b/crates/dispatcher-core/src/dispatcher/owner_leases.rs
@@ -61,7 +61,7 @@
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
-        let mut over = clock_received_at + self.times.lost_attempts_over;
+        let mut over = clock_received_at + self.times.lost_attempts_over_ms;
         if !self.settings.safeguards.lost_attempts_are_waited_for {
             over = now;
         }
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -81,7 +81,7 @@
         let echoed = envelope.echoed_clock;
         let echoed = echoed.filter(|echoed| echoed.incarnation == own && echoed.clock <= now);
         if let (Some(echoed), Some(peer)) = (echoed, self.peers.get_mut(name)) {
-            let until = echoed.clock + self.times.owner_lease;
+            let until = echoed.clock + self.times.owner_lease_ms;
             peer.owner_lease.renew(now, until);
         }
     }
--- a/crates/dispatcher-core/src/dispatcher/timers.rs
+++ b/crates/dispatcher-core/src/dispatcher/timers.rs
@@ -56,7 +56,7 @@
         let gap_ms = now.saturating_sub(before);
         let began = self.started.is_some();
         self.started.get_or_insert(now);
-        (began && gap_ms > times.owner_lease / 2).then_some(gap_ms)
+        (began && gap_ms > times.owner_lease_ms / 2).then_some(gap_ms)
     }
 
     /// Makes the next tick and the next assignment due.
--- a/crates/dispatcher-core/src/event.rs
+++ b/crates/dispatcher-core/src/event.rs
@@ -93,7 +93,7 @@
         /// The ended attempts that the target still lists.
         ended: Vec<ListedEnd>,
         /// When the target's process started, if it reports it.
-        born: Option<ProcessStartTime>,
+        process_start: Option<ProcessStartTime>,
         /// The target's capacity, if it reports one, or why the report can't be used.
         capacity: Option<Result<Resources, EntryFault>>,
     },
--- a/crates/dispatcher-core/src/peers/choice.rs
+++ b/crates/dispatcher-core/src/peers/choice.rs
@@ -84,7 +84,7 @@
     pub fn has_free_capacity(&self, now: Millis, order: &TaskOrder) -> bool {
         let peers = self.peers.values();
         let mut recent = peers.filter(|peer| {
-            peer.accepts_tasks(now) && now <= peer.free_received_at + peer.intervals.heartbeat
+            peer.accepts_tasks(now) && now <= peer.free_received_at + peer.intervals.heartbeat_ms
         });
         recent.any(|peer| peer.has_resources(order) || peer.has_free_capacity(order))
     }
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -218,7 +218,7 @@
     /// accordingly.
     pub fn start_use(&mut self, now: Millis) {
         self.contact.in_use_since.get_or_insert(now);
-        let latest = self.clock_received_at() + self.intervals.heartbeat;
+        let latest = self.clock_received_at() + self.intervals.heartbeat_ms;
         self.schedule.require_by(latest);
     }
 
@@ -247,9 +247,9 @@
         let intervals = &self.intervals;
         let alive = self.contact.is_alive(now, intervals);
         let interval = match (alive, self.contact.in_use_since) {
-            (true, Some(_)) => intervals.heartbeat,
-            (true, None) => intervals.idle,
-            (false, _) => silent_ms.max(intervals.idle),
+            (true, Some(_)) => intervals.heartbeat_ms,
+            (true, None) => intervals.idle_ms,
+            (false, _) => silent_ms.max(intervals.idle_ms),
         };
         self.schedule.take_due(now, interval)
     }
--- a/crates/dispatcher-core/src/peers/schedule.rs
+++ b/crates/dispatcher-core/src/peers/schedule.rs
@@ -45,8 +45,8 @@
     /// Postpones the next heartbeat because the peer just replied to another request. The delay
     /// since the last heartbeat is limited: its reply carries more than other replies.
     pub(super) fn postpone(&mut self, now: Millis, intervals: &HeartbeatIntervals) {
-        let latest = self.last + intervals.idle.max(2 * intervals.heartbeat);
-        let next = self.next.max(now + intervals.heartbeat);
+        let latest = self.last + intervals.idle_ms.max(2 * intervals.heartbeat_ms);
+        let next = self.next.max(now + intervals.heartbeat_ms);
         self.next = next.min(latest.max(self.next));
     }
 
--- a/crates/dispatcher-core/src/rules/heartbeat_intervals.rs
+++ b/crates/dispatcher-core/src/rules/heartbeat_intervals.rs
@@ -45,19 +45,19 @@
     xxh3_64(format!("{own}\n{peer}").as_bytes()) % FIRST_FAR_SPREAD_MS
 }
 
-/// Intervals and timeouts between hosts for a given number of peers, in ms.
+/// Intervals and timeouts between hosts for a given number of peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeartbeatIntervals {
     /// The heartbeat interval where an owner lease depends on it.
-    pub heartbeat: Millis,
+    pub heartbeat_ms: Millis,
     /// The heartbeat interval to all other peers.
-    pub idle: Millis,
+    pub idle_ms: Millis,
     /// The time in which a peer with attempts of this host has to acknowledge a message.
-    pub owner_lease: Millis,
+    pub owner_lease_ms: Millis,
     /// The time for which any other peer is considered alive after an acknowledgement.
-    pub alive: Millis,
+    pub alive_ms: Millis,
     /// The time for which a peer keeps its targets after its last message.
-    pub dead: Millis,
+    pub dead_ms: Millis,
 }
 
 impl HeartbeatIntervals {
@@ -81,14 +81,14 @@
 
     fn new(times: &Times, peers: usize, per_heartbeat: usize, max_factor: f64) -> Self {
         let factor = peers as f64 / per_heartbeat as f64;
-        let idle = times.heartbeat as f64 * factor.clamp(1.0, max_factor);
-        let alive = ((idle * ALIVE_INTERVALS) as Millis).max(times.owner_lease);
+        let idle_ms = times.heartbeat_ms as f64 * factor.clamp(1.0, max_factor);
+        let alive_ms = ((idle_ms * ALIVE_INTERVALS) as Millis).max(times.owner_lease_ms);
         Self {
-            heartbeat: times.heartbeat,
-            idle: idle as Millis,
-            owner_lease: times.owner_lease,
-            alive,
-            dead: alive.max(DEAD_AFTER_OWNER_LEASES * times.owner_lease),
+            heartbeat_ms: times.heartbeat_ms,
+            idle_ms: idle_ms as Millis,
+            owner_lease_ms: times.owner_lease_ms,
+            alive_ms,
+            dead_ms: alive_ms.max(DEAD_AFTER_OWNER_LEASES * times.owner_lease_ms),
         }
     }
 }
--- a/crates/dispatcher-core/src/rules/leases.rs
+++ b/crates/dispatcher-core/src/rules/leases.rs
@@ -18,7 +18,7 @@
 //!   again.
 //!
 //! **Inputs.** [`Bounds`], in ms. **Trade-off.** A task whose peer died waits for up to
-//! [`Times::lost_attempts_over`] before it is started again.
+//! [`Times::lost_attempts_over_ms`] before it is started again.
 
 use crate::settings::{Bounds, BoundsError};
 use crate::Millis;
@@ -40,26 +40,26 @@
 /// The shortest owner lease that heartbeats over HTTP can renew, in ms.
 pub(crate) const MIN_OWNER_LEASE_MS: Millis = 100;
 
-/// Times that follow from the deployment's bounds, in ms.
+/// Times that follow from the deployment's bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// The longest lease that a target is asked for, on the target's clock.
-    pub target_lease: Millis,
+    pub target_lease_ms: Millis,
     /// The same on a true clock, if the target's clock is as slow as allowed.
-    pub target_lease_true: Millis,
+    pub target_lease_true_ms: Millis,
     /// The time for which an owner's attempts continue after its newest echo.
-    pub owner_lease: Millis,
+    pub owner_lease_ms: Millis,
     /// The time for which a renewal may wait at the target for the end of an attempt.
-    pub long_poll: Millis,
+    pub long_poll_ms: Millis,
     /// The heartbeat interval where an owner lease depends on it.
-    pub heartbeat: Millis,
+    pub heartbeat_ms: Millis,
     /// The time from the last acknowledgement of a peer until this host's attempts there have
     /// certainly ended.
-    pub lost_attempts_over: Millis,
+    pub lost_attempts_over_ms: Millis,
     /// The time from the last renewal of a target's lease until all attempts there have ended.
-    pub target_attempts_over: Millis,
+    pub target_attempts_over_ms: Millis,
     /// The same if the target may have granted the longest lease that it ever grants.
-    pub longest_attempts_over: Millis,
+    pub longest_attempts_over_ms: Millis,
 }
 
 impl Bounds {
@@ -72,26 +72,26 @@
         let spare = self
             .retransmit_ms
             .saturating_sub(self.stop_grace_ms + MARGIN_MS);
-        let target_lease =
+        let target_lease_ms =
             ((spare as f64 * TARGET_LEASE_SHARE) as Millis).min(self.max_target_lease_ms);
-        let target_lease_true = longest_on_true_clock(target_lease);
-        let owner_lease = spare.saturating_sub(target_lease_true);
-        if owner_lease < MIN_OWNER_LEASE_MS {
+        let target_lease_true_ms = longest_on_true_clock(target_lease_ms);
+        let owner_lease_ms = spare.saturating_sub(target_lease_true_ms);
+        if owner_lease_ms < MIN_OWNER_LEASE_MS {
             return Err(BoundsError::TooTight {
                 retransmit_ms: self.retransmit_ms,
-                left_ms: owner_lease,
+                left_ms: owner_lease_ms,
             });
         }
-        let target_attempts_over = target_lease_true + self.stop_grace_ms;
+        let target_attempts_over_ms = target_lease_true_ms + self.stop_grace_ms;
         Ok(Times {
-            target_lease,
-            target_lease_true,
-            owner_lease,
-            long_poll: (target_lease / RENEWALS_PER_TARGET_LEASE).min(MAX_LONG_POLL_MS),
-            heartbeat: owner_lease / HEARTBEATS_PER_OWNER_LEASE,
-            lost_attempts_over: owner_lease + target_attempts_over,
-            target_attempts_over,
-            longest_attempts_over: longest_on_true_clock(self.max_target_lease_ms)
+            target_lease_ms,
+            target_lease_true_ms,
+            owner_lease_ms,
+            long_poll_ms: (target_lease_ms / RENEWALS_PER_TARGET_LEASE).min(MAX_LONG_POLL_MS),
+            heartbeat_ms: owner_lease_ms / HEARTBEATS_PER_OWNER_LEASE,
+            lost_attempts_over_ms: owner_lease_ms + target_attempts_over_ms,
+            target_attempts_over_ms,
+            longest_attempts_over_ms: longest_on_true_clock(self.max_target_lease_ms)
                 + self.stop_grace_ms,
         })
     }
--- a/crates/dispatcher-core/src/rules/liveness.rs
+++ b/crates/dispatcher-core/src/rules/liveness.rs
@@ -52,27 +52,27 @@
             return false;
         };
         let unanswered = self.unanswered_since;
-        if unanswered.is_some_and(|since| since + intervals.owner_lease <= now) {
+        if unanswered.is_some_and(|since| since + intervals.owner_lease_ms <= now) {
             return false;
         }
-        let fresh = acknowledged + intervals.owner_lease > now;
+        let fresh = acknowledged + intervals.owner_lease_ms > now;
         let used_for_owner_lease = self
             .in_use_since
-            .is_some_and(|at| at + intervals.owner_lease <= now);
-        fresh || (!used_for_owner_lease && acknowledged + intervals.alive > now)
+            .is_some_and(|at| at + intervals.owner_lease_ms <= now);
+        fresh || (!used_for_owner_lease && acknowledged + intervals.alive_ms > now)
     }
 
     /// Returns whether its clock was received recently enough to hand over a task now.
     #[must_use]
     pub fn has_fresh_clock(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
-        let fresh_ms = intervals.owner_lease / FRESH_CLOCK_DIVISOR;
+        let fresh_ms = intervals.owner_lease_ms / FRESH_CLOCK_DIVISOR;
         self.clock.is_some_and(|received| received + fresh_ms > now)
     }
 
     /// Returns whether it keeps its targets, even if it may get no tasks.
     #[must_use]
     pub fn retains_targets(&self, now: Millis, intervals: &HeartbeatIntervals) -> bool {
-        let in_contact = self.acknowledged.is_some() && self.last_contact + intervals.dead > now;
+        let in_contact = self.acknowledged.is_some() && self.last_contact + intervals.dead_ms > now;
         in_contact && !self.refused
     }
 
--- a/crates/dispatcher-core/src/rules/retry.rs
+++ b/crates/dispatcher-core/src/rules/retry.rs
@@ -8,7 +8,7 @@
 //!
 //! Each attempt at a task has a higher number than the last, so that late reports on earlier
 //! attempts can't be taken for reports on this one. An attempt at a lost peer is only considered
-//! ended after [`super::leases::Times::lost_attempts_over`].
+//! ended after [`super::leases::Times::lost_attempts_over_ms`].
 //!
 //! **Inputs.** The outcome, the task's failures so far, the queue's limit. **Reason.** Attempts
 //! that started again at the same number would end attempts of a later request. **Trade-off.** A
--- a/crates/dispatcher-core/src/rules/store_readers.rs
+++ b/crates/dispatcher-core/src/rules/store_readers.rs
@@ -10,7 +10,7 @@
 //! **Inputs.** The hosts of the hall that stay; `drain-ms`, within which a leaving target has to be
 //! known and of which all times here are fractions; the age in ms of the known state.
 //! **Trade-off.** A change takes a round between two hosts longer; a reader that falls silent costs
-//! its hall [`Freshness::stale`] until its hosts read.
+//! its hall [`Freshness::stale_after_ms`] until its hosts read.
 
 use gannetridge_wire::Name;
 use xxhash_rust::xxh3::xxh3_64;
@@ -26,15 +26,15 @@
 /// this: the rest is for reading the store.
 const STALE_DIVISOR: Millis = 2;
 /// The number of requests to readers in the time in which a leaving target has to be known.
-const ASKS_PER_DRAIN: Millis = 8;
+const REQUESTS_PER_DRAIN: Millis = 8;
 
-/// How fresh the known state of the store has to be, in ms.
+/// How fresh the known state of the store has to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
     /// The age from which the store is read.
-    pub stale: Millis,
+    pub stale_after_ms: Millis,
     /// The interval between requests to a reader.
-    pub ask: Millis,
+    pub request_interval_ms: Millis,
 }
 
 impl Freshness {
@@ -42,8 +42,8 @@
     #[must_use]
     pub fn new(drain_ms: Millis) -> Self {
         Self {
-            stale: drain_ms / STALE_DIVISOR,
-            ask: drain_ms / ASKS_PER_DRAIN,
+            stale_after_ms: drain_ms / STALE_DIVISOR,
+            request_interval_ms: drain_ms / REQUESTS_PER_DRAIN,
         }
     }
 }
--- a/crates/dispatcher-core/src/store_replica.rs
+++ b/crates/dispatcher-core/src/store_replica.rs
@@ -109,7 +109,8 @@
     /// Returns true if a table is unknown, or too old to be used without reading the store.
     #[must_use]
     pub fn is_stale(&self, now: Millis) -> bool {
-        self.age(now).is_none_or(|age| age >= self.freshness.stale)
+        self.age(now)
+            .is_none_or(|age| age >= self.freshness.stale_after_ms)
     }
 
     /// Applies changes to the list. Changes without effect aren't sent to peers.
@@ -183,7 +184,7 @@
     pub fn take_due_request(&mut self, now: Millis) -> bool {
         let due = self.next_request_at <= now;
         if due {
-            self.next_request_at = now + self.freshness.ask;
+            self.next_request_at = now + self.freshness.request_interval_ms;
         }
         due
     }
--- a/crates/dispatcher-core/src/targets/incarnations.rs
+++ b/crates/dispatcher-core/src/targets/incarnations.rs
@@ -75,7 +75,7 @@
         let requested = listing_requested_at(pending);
         self.reports.extend(target.end_unsent(now));
         let outcomes = target.lost_outcomes(TargetLoss::Restarted, gone_by);
-        let longest_attempts_over = self.times.longest_attempts_over;
+        let longest_attempts_over = self.times.longest_attempts_over_ms;
         let reports = target.start_incarnation(
             now,
             token,
@@ -183,7 +183,7 @@
 /// Returns the start time of the replying incarnation, if the reply reports it.
 fn incarnation_start(reply: &TargetReply) -> Option<ProcessStartTime> {
     match reply {
-        TargetReply::Listing { born, .. } => *born,
+        TargetReply::Listing { process_start, .. } => *process_start,
         _ => None,
     }
 }
--- a/crates/dispatcher-core/src/targets/renewals.rs
+++ b/crates/dispatcher-core/src/targets/renewals.rs
@@ -65,7 +65,7 @@
         } else {
             None
         };
-        let wait_ms = long_poll_ms(target, self.times.long_poll);
+        let wait_ms = long_poll_ms(target, self.times.long_poll_ms);
         let order = TargetCall::Renew {
             until,
             acknowledged: acknowledged(target),
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -142,7 +142,9 @@
             // Before it knew this host's token, a new incarnation of the target may have received a
             // deadline on its previous clock from another host, and granted its longest lease to
             // all its attempts.
-            target.lease.extend(now + self.times.longest_attempts_over);
+            target
+                .lease
+                .extend(now + self.times.longest_attempts_over_ms);
         }
         if was_silent {
             self.record_target(id, TargetState::Answers, StateSource::Renewal);
--- a/crates/dispatcher-core/src/targets/starts.rs
+++ b/crates/dispatcher-core/src/targets/starts.rs
@@ -98,7 +98,7 @@
             .targets
             .get_mut(target_id)
             .expect("the target was found");
-        let latest_start = now + self.times.target_lease_true;
+        let latest_start = now + self.times.target_lease_true_ms;
         let attempt = target.attempts.get_mut(id);
         let specification = attempt.and_then(|attempt| attempt.mark_sent(now, latest_start));
         let Some(specification) = specification else {
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -236,11 +236,11 @@
         owner: &Owner,
         order: &TaskOrder,
     ) {
-        let latest_start = now + times.target_lease_true;
+        let latest_start = now + times.target_lease_true_ms;
         let mut attempt = Attempt::new(now, latest_start, owner, order);
         attempt.is_far = target_choice::is_far(&self.entry, order);
         self.attempts.insert(order.id.clone(), attempt);
-        self.lease.extend(now + times.target_attempts_over);
+        self.lease.extend(now + times.target_attempts_over_ms);
     }
 
     /// Returns the start deadline of attempts whose starts are sent now, on the target's clock. It
@@ -268,8 +268,8 @@
     /// Extends the lease and returns its new end on the target's clock, computed from the earliest
     /// time that the clock may show; `None` if the clock isn't known.
     pub(super) fn extend_lease(&mut self, now: Millis, times: &Times) -> Option<Millis> {
-        let until = self.earliest_clock(now)? + times.target_lease;
-        self.lease.extend(now + times.target_attempts_over);
+        let until = self.earliest_clock(now)? + times.target_lease_ms;
+        self.lease.extend(now + times.target_attempts_over_ms);
         self.extended_until = self.extended_until.max(Some(until));
         Some(until)
     }
--- a/crates/dispatcher-core/src/targets/unsent_starts.rs
+++ b/crates/dispatcher-core/src/targets/unsent_starts.rs
@@ -21,7 +21,7 @@
     /// Returns true if a target must reply before a start is sent to it. An idle target needs a
     /// reply as recent as those of a busy one, which answers each renewal within a long poll.
     pub(super) fn must_reply_first(&self, now: Millis, target: &Target) -> bool {
-        let recent = now.saturating_sub(self.times.long_poll);
+        let recent = now.saturating_sub(self.times.long_poll_ms);
         let is_stale = target.is_idle() && !target.has_replied_since(recent);
         self.safeguards.idle_targets_are_asked && (is_stale || target.has_unsent_starts())
     }
--- a/crates/dispatcher-core/tests/backlog.rs
+++ b/crates/dispatcher-core/tests/backlog.rs
@@ -155,7 +155,7 @@
 case!(tasks_of_a_silent_owner_are_dropped, {
     let (mut rig, running) = full_holder();
     // The owner lease expires before the task's latest start.
-    let owner_lease = support::BOUNDS.times().unwrap().owner_lease;
+    let owner_lease = support::BOUNDS.times().unwrap().owner_lease_ms;
     let mut task = handed(&rig, "c.0.0.0", 100);
     task.latest_start += 10 * owner_lease;
     assert_eq!(hand_over(&mut rig, vec![task]).1, [0]);
--- a/crates/dispatcher-core/tests/crashing_tasks.rs
+++ b/crates/dispatcher-core/tests/crashing_tasks.rs
@@ -53,7 +53,7 @@
             clock,
             running: running.collect(),
             ended: self.ended.clone(),
-            born: Some(ProcessStartTime(self.incarnation)),
+            process_start: Some(ProcessStartTime(self.incarnation)),
             capacity: None,
         }
     }
@@ -418,7 +418,7 @@
         clock: rig.now + 500_000,
         running: running.collect(),
         ended: Vec::new(),
-        born: Some(ProcessStartTime(incarnation)),
+        process_start: Some(ProcessStartTime(incarnation)),
         capacity: None,
     };
     for called in here {
--- a/crates/dispatcher-core/tests/learned_speeds.rs
+++ b/crates/dispatcher-core/tests/learned_speeds.rs
@@ -63,7 +63,7 @@
     slowdown: f64,
     /// Whether it is in another rack than the data.
     is_far: bool,
-    born: ProcessStartTime,
+    process_start: ProcessStartTime,
     reports_progress: bool,
     /// Work done and total work in ms, by attempt.
     running: BTreeMap<AttemptId, (f64, f64)>,
@@ -277,7 +277,7 @@
         Self {
             slowdown,
             is_far: false,
-            born: ProcessStartTime(1),
+            process_start: ProcessStartTime(1),
             reports_progress: true,
             running: BTreeMap::new(),
             ended: Vec::new(),
@@ -292,7 +292,7 @@
         self.running.clear();
         self.ended.clear();
         self.last_end = 0;
-        self.born.0 += 1;
+        self.process_start.0 += 1;
         self.slowdown = 1.0;
     }
 
@@ -325,7 +325,7 @@
             clock,
             running: running.collect(),
             ended: self.ended.clone(),
-            born: Some(self.born),
+            process_start: Some(self.process_start),
             capacity: None,
         }
     }
--- a/crates/dispatcher-core/tests/many_peers.rs
+++ b/crates/dispatcher-core/tests/many_peers.rs
@@ -122,7 +122,7 @@
         .echoed_clock
         .expect("the peer's clock is known")
         .clock;
-    let owner_lease = support::BOUNDS.times().unwrap().owner_lease;
+    let owner_lease = support::BOUNDS.times().unwrap().owner_lease_ms;
     for _ in 0..150 {
         rig.pass(10);
         let requests = rig.requests.iter();
--- a/crates/dispatcher-core/tests/peers.rs
+++ b/crates/dispatcher-core/tests/peers.rs
@@ -109,7 +109,7 @@
             }
             starts = rig.starts();
         }
-        let over = support::BOUNDS.times().unwrap().lost_attempts_over;
+        let over = support::BOUNDS.times().unwrap().lost_attempts_over_ms;
         assert!(
             rig.now >= last_heard + over,
             "{} after {last_heard}",
--- a/crates/dispatcher-core/tests/shrinking_capacity.rs
+++ b/crates/dispatcher-core/tests/shrinking_capacity.rs
@@ -41,7 +41,7 @@
             clock: rig.now + 500_000,
             running: running.collect(),
             ended: ended.to_vec(),
-            born: Some(ProcessStartTime(1)),
+            process_start: Some(ProcessStartTime(1)),
             capacity: *capacity,
         };
         rig.target_reply(*call, reply);
@@ -225,7 +225,7 @@
             clock: 40,
             running: Vec::new(),
             ended: Vec::new(),
-            born: Some(ProcessStartTime(2)),
+            process_start: Some(ProcessStartTime(2)),
             capacity: None,
         };
         rig.target_reply(call, reply);
--- a/crates/dispatcher-core/tests/support/mod.rs
+++ b/crates/dispatcher-core/tests/support/mod.rs
@@ -263,7 +263,7 @@
             clock: self.now + 500_000,
             running: running.iter().map(without_progress).collect(),
             ended: ended.to_vec(),
-            born: None,
+            process_start: None,
             capacity: None,
         };
         self.target_reply(call, reply);
--- a/crates/dispatcher-core/tests/suspended.rs
+++ b/crates/dispatcher-core/tests/suspended.rs
@@ -139,7 +139,7 @@
         clock: rig.now + CLOCK_OFFSET_MS,
         running: Vec::new(),
         ended: Vec::new(),
-        born: None,
+        process_start: None,
         capacity: None,
     };
     rig.now += GAP_MS;
--- a/crates/dispatcher-core/tests/target_leases.rs
+++ b/crates/dispatcher-core/tests/target_leases.rs
@@ -303,7 +303,7 @@
                 percent: Some(percent),
             }],
             ended: Vec::new(),
-            born: None,
+            process_start: None,
             capacity: None,
         };
         rig.target_reply(call, reply);
@@ -394,7 +394,7 @@
     rig.event(Event::HostsRead(vec![peer_info()]));
     let own = submit_and_accept(&mut rig, ID);
     let theirs = start_for_peer(&mut rig, "00000000000000aa.0.0.0");
-    let restarted_from = rig.now + BOUNDS.times().unwrap().lost_attempts_over;
+    let restarted_from = rig.now + BOUNDS.times().unwrap().lost_attempts_over_ms;
     let extended = renewed_until(&mut rig, 1_000, &[own, theirs]);
     let runs_until =
         extended.expect("a renewal before the owner fell silent") + BOUNDS.stop_grace_ms;
@@ -435,7 +435,7 @@
     let theirs = start_for_peer(&mut rig, "00000000000000aa.0.0.0");
     let running = [own.clone(), theirs.clone()];
     let times = BOUNDS.times().unwrap();
-    renewed_until(&mut rig, times.owner_lease + 20, &running);
+    renewed_until(&mut rig, times.owner_lease_ms + 20, &running);
     let stop = rig
         .calls
         .iter()
--- a/crates/dispatcher-core/tests/target_restarts.rs
+++ b/crates/dispatcher-core/tests/target_restarts.rs
@@ -18,7 +18,7 @@
 
 fn listing(
     clock: Millis,
-    born: Option<ProcessStartTime>,
+    process_start: Option<ProcessStartTime>,
     running: &[AttemptId],
     ended: &[ListedEnd],
 ) -> TargetReply {
@@ -30,7 +30,7 @@
         clock,
         running: running.collect(),
         ended: ended.to_vec(),
-        born,
+        process_start,
         capacity: None,
     }
 }
--- a/crates/dispatcher-sim/src/target.rs
+++ b/crates/dispatcher-sim/src/target.rs
@@ -62,7 +62,7 @@
     /// The speed of its clock; 1.0 is exact.
     pub clock_rate: f64,
     /// Identifies this incarnation.
-    pub born: ProcessStartTime,
+    pub process_start: ProcessStartTime,
     /// The number of the last end when this incarnation last sent a listing.
     last_listed_end: u64,
     clock_base: f64,
@@ -122,7 +122,7 @@
             attempts: BTreeMap::new(),
             unacknowledged_ends: Vec::new(),
             clock_rate,
-            born: ProcessStartTime(0),
+            process_start: ProcessStartTime(0),
             last_listed_end: 0,
             clock_base: FIRST_CLOCK_MS,
             highest_token: 0,
@@ -135,11 +135,11 @@
     }
 
     /// Restarts under the same id, without any state of the previous incarnation.
-    pub fn restart(&mut self, now: Millis, born: ProcessStartTime) {
+    pub fn restart(&mut self, now: Millis, process_start: ProcessStartTime) {
         let max_lease_ms = self.max_target_lease_ms as Millis;
         let entry = self.entry.clone();
         *self = Self::new(entry, self.enforces_capacity, self.clock_rate, max_lease_ms);
-        self.born = born;
+        self.process_start = process_start;
         self.clock_base = RESTARTED_CLOCK_MS - now as f64 * self.clock_rate;
         self.advanced_to = now;
     }
@@ -298,7 +298,7 @@
             clock: self.clock(now) as Millis,
             running: self.attempts.iter().map(list_attempt).collect(),
             ended: self.unacknowledged_ends.clone(),
-            born: Some(self.born),
+            process_start: Some(self.process_start),
             capacity: None,
         }
     }
--- a/crates/dispatcher-sim/src/world/mod.rs
+++ b/crates/dispatcher-sim/src/world/mod.rs
@@ -281,11 +281,11 @@
                 pending,
                 target,
                 id,
-                born,
+                process_start,
                 token,
                 order,
                 lost,
-            } => self.handle_target_call(pending, target, &id, born, token, order, lost),
+            } => self.handle_target_call(pending, target, &id, process_start, token, order, lost),
             SimEvent::TargetReply { pending, reply } => {
                 let event = |call| Event::TargetReply {
                     call,
--- a/crates/dispatcher-sim/src/world/model.rs
+++ b/crates/dispatcher-sim/src/world/model.rs
@@ -46,7 +46,7 @@
     pub(super) target: usize,
     pub(super) id: Name,
     /// The incarnation of the target that received the call.
-    pub(super) born: ProcessStartTime,
+    pub(super) process_start: ProcessStartTime,
     pub(super) until: Millis,
 }
 
@@ -82,7 +82,7 @@
         target: usize,
         id: Name,
         /// The incarnation of the target to which the connection was opened.
-        born: ProcessStartTime,
+        process_start: ProcessStartTime,
         token: u64,
         order: TargetCall,
         /// The reply doesn't reach the host.
--- a/crates/dispatcher-sim/src/world/network.rs
+++ b/crates/dispatcher-sim/src/world/network.rs
@@ -132,7 +132,7 @@
                 pending,
                 target,
                 id,
-                born: self.targets[target].born,
+                process_start: self.targets[target].process_start,
                 token,
                 order,
                 lost,
@@ -146,7 +146,7 @@
         pending: Pending,
         index: usize,
         id: &Name,
-        born: ProcessStartTime,
+        process_start: ProcessStartTime,
         token: u64,
         order: TargetCall,
         lost: bool,
@@ -154,7 +154,7 @@
         self.advance_target(index);
         let target = &mut self.targets[index];
         // A connection doesn't outlive the process to which it was opened.
-        if !target.is_up || (target.entry.id == *id && target.born != born) {
+        if !target.is_up || (target.entry.id == *id && target.process_start != process_start) {
             return;
         }
         if target.entry.id != *id {
@@ -205,7 +205,7 @@
                             pending,
                             target: index,
                             id: id.clone(),
-                            born,
+                            process_start,
                             until: now + wait_ms,
                         });
                     }
@@ -292,7 +292,7 @@
         let long_polls = std::mem::take(&mut self.long_polls);
         for long_poll in long_polls {
             let target = &self.targets[long_poll.target];
-            let same_incarnation = target.born == long_poll.born;
+            let same_incarnation = target.process_start == long_poll.process_start;
             let is_same_process =
                 target.is_up && same_incarnation && target.entry.id == long_poll.id;
             if is_same_process
--- a/crates/dispatcher-sim/src/world/target_restarts.rs
+++ b/crates/dispatcher-sim/src/world/target_restarts.rs
@@ -83,8 +83,8 @@
 
     /// Restarts a target under its id.
     pub(super) fn restart_target(&mut self, index: usize) {
-        let born = ProcessStartTime(EPOCH_MS + self.now);
-        self.targets[index].restart(self.now, born);
+        let process_start = ProcessStartTime(EPOCH_MS + self.now);
+        self.targets[index].restart(self.now, process_start);
         let entry = self.targets[index].entry.clone();
         self.announce_target_changes(vec![TargetChange::Listed(entry)]);
     }
--- a/crates/dispatcher-sim/tests/two_holders.rs
+++ b/crates/dispatcher-sim/tests/two_holders.rs
@@ -37,7 +37,7 @@
     token: u64,
     order: TargetCall,
     /// The incarnation of the target to which its connection was opened.
-    born: ProcessStartTime,
+    process_start: ProcessStartTime,
     /// When the host stops waiting for the reply.
     timeout_at: Millis,
     /// Until when the target, which has the call, waits for an end before it replies.
@@ -152,7 +152,7 @@
                     call,
                     token,
                     order,
-                    born: self.target.born,
+                    process_start: self.target.process_start,
                     timeout_at: self.now + wait_ms,
                     waits_until: None,
                 }),
@@ -211,7 +211,8 @@
 
     /// Returns `true` if the target carries a call out now, or answers one that it held back.
     fn is_due(&self, pending: &Pending) -> bool {
-        let reaches_target = self.reaches[pending.host] && pending.born == self.target.born;
+        let reaches_target =
+            self.reaches[pending.host] && pending.process_start == self.target.process_start;
         let has_waited = |until| until <= self.now || !self.target.unacknowledged_ends.is_empty();
         reaches_target && pending.waits_until.is_none_or(has_waited)
     }
@@ -307,8 +308,8 @@
 
     /// Crashes the target, which restarts immediately under its id.
     fn restart_target(&mut self) {
-        let born = ProcessStartTime(EPOCH_MS + self.now);
-        self.target.restart(self.now, born);
+        let process_start = ProcessStartTime(EPOCH_MS + self.now);
+        self.target.restart(self.now, process_start);
     }
 }
 
--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -147,7 +147,7 @@
         let pause = pause_between_reads(table, settings.bounds.drain_ms);
         let times = ReadTimes {
             max_pause: pause,
-            reader_max_wait_ms: Freshness::new(settings.bounds.drain_ms).ask,
+            reader_max_wait_ms: Freshness::new(settings.bounds.drain_ms).request_interval_ms,
             link_bytes_per_s: settings.link.bytes_per_s(),
         };
         let task = follow_table(
