--- a/crates/dispatcher-core/src/dispatcher/backlog.rs
+++ b/crates/dispatcher-core/src/dispatcher/backlog.rs
@@ -214,19 +214,21 @@
         }
     }
 
-    /// Starts a task of a peer if possible; only near its data while waiting for that pays.
-    /// Returns true if it was started.
+    /// Starts a task of a peer if a target has the resources: only near its data until the task has
+    /// waited for [`near_target_wait_ms`]. Returns true if it was started.
     fn start_backlog_task(&mut self, now: Millis, handed: &BacklogTask) -> bool {
         let order = &handed.task.order;
         let waited_ms = now.saturating_sub(handed.received_at);
-        let patient =
+        let within_near_wait =
             waited_ms < near_target_wait_ms(order.estimate_ms, self.settings.far_slowdown);
-        let reach =
-            if patient && order.rack.is_some() && self.targets.could_run_here(now, order, true) {
-                Reach::Near
-            } else {
-                Reach::Anywhere
-            };
+        let reach = if within_near_wait
+            && order.rack.is_some()
+            && self.targets.could_run_here(now, order, true)
+        {
+            Reach::Near
+        } else {
+            Reach::Anywhere
+        };
         let urgency = handed.task.priority.urgency;
         let started = self
             .targets
@@ -295,12 +297,12 @@
         let loads = self.pool_loads(now);
         let pool = loads.iter().find(|load| load.pool == order.pool);
         let queue_cpu = pool.map_or(0, |load| load.queue_cpu);
-        let kept = accepts_task(order.resources.cpu, queue_cpu, self.backlog.len())
+        let accepted = accepts_task(order.resources.cpu, queue_cpu, self.backlog.len())
             && self.targets.could_run_here(now, order, false);
-        if kept {
+        if accepted {
             self.backlog.push(handed);
         }
-        kept
+        accepted
     }
 
     /// Removes a peer's waiting tasks whose attempts are in `ids` from the backlog, and their
--- a/crates/dispatcher-core/src/dispatcher/draining.rs
+++ b/crates/dispatcher-core/src/dispatcher/draining.rs
@@ -16,7 +16,7 @@
     /// Applies the complete set of draining halls, as read from the store.
     pub(super) fn replace_draining_halls(&mut self, now: Millis, version: u64, halls: Vec<Name>) {
         if self.settings.safeguards.draining_is_read {
-            let halls = self.with_halls_kept_draining(halls);
+            let halls = self.with_halls_already_draining(halls);
             let changes = self.draining.replace(version, halls);
             self.publish_draining_changes(now, changes, ConfigurationSource::Store);
         }
@@ -46,14 +46,14 @@
     /// Applies the draining halls that a peer sent.
     pub(super) fn apply_draining_update(&mut self, now: Millis, update: DrainingUpdate) {
         if self.settings.safeguards.draining_is_learned_from_peers {
-            let halls = self.with_halls_kept_draining(update.halls);
+            let halls = self.with_halls_already_draining(update.halls);
             let changes = self.draining.replace(update.version, halls);
             self.publish_draining_changes(now, changes, ConfigurationSource::Peer);
         }
     }
 
     /// Adds the halls that are draining already if a test disables the end of draining.
-    fn with_halls_kept_draining(&self, mut halls: Vec<Name>) -> Vec<Name> {
+    fn with_halls_already_draining(&self, mut halls: Vec<Name>) -> Vec<Name> {
         if !self.settings.safeguards.draining_ends {
             halls.extend(self.draining.halls().iter().cloned());
         }
--- a/crates/dispatcher-core/src/dispatcher/hand_over.rs
+++ b/crates/dispatcher-core/src/dispatcher/hand_over.rs
@@ -140,10 +140,10 @@
         order: &TaskOrder,
         may_fit: bool,
     ) -> HolderView {
-        let patient =
+        let within_near_wait =
             task.age_ms < near_target_wait_ms(order.estimate_ms, self.settings.far_slowdown);
-        let waits_near =
-            (patient || order.rack.is_none()) && self.targets.could_run_here(now, order, true);
+        let waits_near = (within_near_wait || order.rack.is_none())
+            && self.targets.could_run_here(now, order, true);
         let near = match pass.own_wait_ms(order, task.priority.urgency) {
             Some(expected_ms) if waits_near => Availability::Wait {
                 spare_cpu: order.resources.cpu,
--- a/crates/dispatcher-core/src/dispatcher/load.rs
+++ b/crates/dispatcher-core/src/dispatcher/load.rs
@@ -99,7 +99,7 @@
             return;
         }
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.load_sent_at = now;
+            peer.own_load_sent_at = now;
         }
         let request = Request::FreeCapacity(self.holder_load(now));
         self.call_peer(now, &name, request, Purpose::FreeCapacity);
@@ -110,7 +110,7 @@
     fn first_demand(&self, now: Millis) -> Option<(Name, Resources)> {
         let demanding = self.peers.iter();
         let demanding =
-            demanding.filter(|(_, peer)| peer.load_sent_at + FREE_CAPACITY_INTERVAL_MS <= now);
+            demanding.filter(|(_, peer)| peer.own_load_sent_at + FREE_CAPACITY_INTERVAL_MS <= now);
         let open = demanding.filter_map(|(name, peer)| Some((name, peer.open_demand(now)?)));
         let first = open.min_by(|(_, a), (_, b)| {
             let order = a.priority.partial_cmp(&b.priority);
@@ -121,7 +121,7 @@
 
     /// Handles a peer's reply to a report of free capacity: clears its demand if it has no waiting
     /// tasks.
-    pub(super) fn free_capacity_replied(
+    pub(super) fn handle_free_capacity_reply(
         &mut self,
         now: Millis,
         name: &Name,
@@ -167,7 +167,7 @@
     }
 
     /// Handles a peer's report of free capacity. Waiting tasks are placed after this event.
-    pub(super) fn free_capacity_received(
+    pub(super) fn handle_free_capacity_report(
         &mut self,
         now: Millis,
         name: &Name,
--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -90,7 +90,7 @@
     timers: Timers,
     stopping: Option<Stopping>,
     advertised: Option<Advertised>,
-    own_delay: LocalDelay,
+    local_delay: LocalDelay,
     actions: Vec<Action>,
 }
 
@@ -127,7 +127,7 @@
             timers: Timers::default(),
             stopping: None,
             advertised: None,
-            own_delay: LocalDelay::default(),
+            local_delay: LocalDelay::default(),
             actions: Vec::new(),
         })
     }
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -143,7 +143,7 @@
             call,
             address,
             envelope: Box::new(envelope),
-            wait_ms: PEER_TIMEOUT_MS + self.own_delay.extra_wait_ms(),
+            wait_ms: PEER_TIMEOUT_MS + self.local_delay.extra_wait_ms(),
         });
     }
 
@@ -186,8 +186,9 @@
         } = open;
         let was_sent = !matches!(reply, Err(SendFailure::Refused | SendFailure::NotSent));
         if was_sent && !before_stall {
-            self.own_delay.observe(now, now.saturating_sub(sent));
-            self.targets.set_added_wait(self.own_delay.extra_wait_ms());
+            self.local_delay.observe(now, now.saturating_sub(sent));
+            self.targets
+                .set_added_wait(self.local_delay.extra_wait_ms());
         }
         match callee {
             Callee::Seed => self.seed_replied(now, reply),
@@ -285,7 +286,7 @@
             Purpose::Demand | Purpose::Crashes => {}
             Purpose::Place(ids) => self.place_replied(now, name, &ids, reply),
             Purpose::HandOver(ids) => self.hand_over_replied(now, name, &ids, reply),
-            Purpose::FreeCapacity => self.free_capacity_replied(now, name, reply),
+            Purpose::FreeCapacity => self.handle_free_capacity_reply(now, name, reply),
             Purpose::Reservation => {
                 if !matches!(body(reply), Some(ReplyBody::Interested(true))) {
                     self.reservation_declined(now, name);
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -117,7 +117,7 @@
             }
             Request::Reservation(free) => self.reservation_received(now, name, &free),
             Request::HandOver(tasks) => self.accept_handed_over(now, name, session, tasks),
-            Request::FreeCapacity(load) => self.free_capacity_received(now, name, load),
+            Request::FreeCapacity(load) => self.handle_free_capacity_report(now, name, load),
             Request::Stop { mut keys, report } => {
                 let reason = StopReason::Requested;
                 let withdrawn = self.withdraw(name, &mut keys);
--- a/crates/dispatcher-core/src/dispatcher/placement.rs
+++ b/crates/dispatcher-core/src/dispatcher/placement.rs
@@ -71,7 +71,7 @@
     now: Millis,
     order: &TaskOrder,
 ) -> bool {
-    targets.has_free_resources(now, order) || peers.has_free_capacity(now, order)
+    targets.has_free_resources(now, order) || peers.has_free_resources(now, order)
 }
 
 impl Dispatcher {
@@ -235,7 +235,7 @@
             return;
         };
         let last = self.advertised.as_ref();
-        let added_ms = self.own_delay.extra_demand_interval_ms();
+        let added_ms = self.local_delay.extra_demand_interval_ms();
         let last = last.map(|last| (&last.demand, last.at + added_ms));
         if !should_advertise(now, &demand, last) {
             return;
--- a/crates/dispatcher-core/src/dispatcher/timers.rs
+++ b/crates/dispatcher-core/src/dispatcher/timers.rs
@@ -87,7 +87,7 @@
         let surroundings = TickContext {
             starting,
             order: self.settings.scheduling.order,
-            has_free_capacity: |order: &TaskOrder| has_free_target(targets, peers, now, order),
+            has_free_target: |order: &TaskOrder| has_free_target(targets, peers, now, order),
         };
         self.jobs.tick(now, &surroundings);
     }
--- a/crates/dispatcher-core/src/jobs/crashes.rs
+++ b/crates/dispatcher-core/src/jobs/crashes.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns what follows for a task from its crashes.
-    fn verdict(&self, now: Millis, task: &str) -> CrashDecision {
+    fn decision(&self, now: Millis, task: &str) -> CrashDecision {
         let history = self.history(task).unwrap_or_default();
         history
             .crashes
@@ -203,7 +203,7 @@
     pub(super) fn is_quarantined(&self, now: Millis, task: impl FnOnce() -> Name) -> bool {
         // Avoids building the task's name in the usual case, without any crash.
         !self.crashed.tasks.is_empty()
-            && self.crashed.verdict(now, &task()) == CrashDecision::Quarantined
+            && self.crashed.decision(now, &task()) == CrashDecision::Quarantined
     }
 
     /// Applies the counts known for a job that was just accepted, which may be a resubmission.
--- a/crates/dispatcher-core/src/jobs/ending.rs
+++ b/crates/dispatcher-core/src/jobs/ending.rs
@@ -26,7 +26,7 @@
     /// The configured order of waiting tasks.
     pub order: WaitingOrder,
     /// Returns whether a target that could run an order is known to have free capacity.
-    pub has_free_capacity: F,
+    pub has_free_target: F,
 }
 
 impl Jobs {
@@ -87,12 +87,12 @@
         if context.order == WaitingOrder::Class || !giving_up::is_lack_of_resources(cause) {
             return Some(cause);
         }
-        let has_room = self
+        let has_free_target = self
             .first_waiting_orders(id)
             .iter()
-            .any(&context.has_free_capacity);
+            .any(&context.has_free_target);
         let open = OpenJob {
-            has_free_target: has_room,
+            has_free_target,
             ..open
         };
         giving_up::end_cause(now, &open, job.open_estimates())
--- a/crates/dispatcher-core/src/jobs/mod.rs
+++ b/crates/dispatcher-core/src/jobs/mod.rs
@@ -133,7 +133,12 @@
     ///
     /// Panics if the job is not in progress.
     #[must_use]
-    pub fn arriving<'a>(&self, now: Millis, id: &'a Name, has_room: bool) -> ArrivingJob<'a> {
+    pub fn arriving<'a>(
+        &self,
+        now: Millis,
+        id: &'a Name,
+        has_free_target: bool,
+    ) -> ArrivingJob<'a> {
         let job = &self.jobs[id];
         ArrivingJob {
             id,
@@ -142,7 +147,7 @@
             chain_ms: job.spec.chain_ms(),
             objective_ms: job.objective_ms,
             deadline_ms: job.deadline.saturating_sub(now),
-            has_free_target: has_room,
+            has_free_target,
         }
     }
 
--- a/crates/dispatcher-core/src/peers/choice.rs
+++ b/crates/dispatcher-core/src/peers/choice.rs
@@ -81,12 +81,12 @@
     /// Returns whether a peer that replied within a heartbeat interval had the resources for an
     /// order.
     #[must_use]
-    pub fn has_free_capacity(&self, now: Millis, order: &TaskOrder) -> bool {
+    pub fn has_free_resources(&self, now: Millis, order: &TaskOrder) -> bool {
         let peers = self.peers.values();
         let mut recent = peers.filter(|peer| {
             peer.accepts_tasks(now) && now <= peer.free_received_at + peer.intervals.heartbeat_ms
         });
-        recent.any(|peer| peer.has_resources(order) || peer.has_free_capacity(order))
+        recent.any(|peer| peer.has_resources(order) || peer.has_free_target(order))
     }
 
     /// Chooses a peer that has, as far as known, the resources for an order, and deducts them
--- a/crates/dispatcher-core/src/peers/load.rs
+++ b/crates/dispatcher-core/src/peers/load.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns whether one of its targets has, as far as known, free capacity for an order.
-    pub(super) fn has_free_capacity(&self, order: &TaskOrder) -> bool {
+    pub(super) fn has_free_target(&self, order: &TaskOrder) -> bool {
         let mut targets = self.load.free_targets.iter();
         targets.any(|target| target.fits(order))
     }
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -69,8 +69,8 @@
     leased: HashSet<Name>,
     pub(super) demand: Option<ReceivedDemand>,
     pub(super) load: KnownLoad,
-    /// When it was last informed, unasked, of free capacity here.
-    pub load_sent_at: Millis,
+    /// When this host last reported its own free capacity to it, other than in a reply.
+    pub own_load_sent_at: Millis,
     /// Delay of the first heartbeat to a new incarnation, in ms.
     first_delay_ms: Millis,
     schedule: HeartbeatSchedule,
@@ -108,7 +108,7 @@
             leased: HashSet::new(),
             demand: None,
             load: KnownLoad::default(),
-            load_sent_at: 0,
+            own_load_sent_at: 0,
             first_delay_ms,
             schedule: HeartbeatSchedule::due_at(now + first_delay_ms),
         }
--- a/crates/dispatcher-core/src/rules/progress.rs
+++ b/crates/dispatcher-core/src/rules/progress.rs
@@ -107,15 +107,15 @@
         self.percent
     }
 
-    /// Returns the time for all of its work at the fastest pace shown so far, in ms, once any
-    /// shows.
+    /// Returns the time for all of its work at the fastest pace seen so far, in ms; `None` until
+    /// its progress shows a pace.
     #[must_use]
     pub fn fastest_total_ms(&self) -> Option<f64> {
         let done = self.percent - self.first.percent;
         let ran_ms = self.since.saturating_sub(self.first.clock) as f64;
         let whole_ms = (done > 0).then(|| ran_ms * 100.0 / f64::from(done));
-        let shown = [whole_ms, self.pace_ms(), self.fastest_ms];
-        shown.into_iter().flatten().reduce(f64::min)
+        let totals_ms = [whole_ms, self.pace_ms(), self.fastest_ms];
+        totals_ms.into_iter().flatten().reduce(f64::min)
     }
 
     /// Returns whether its target reports its progress.
--- a/crates/dispatcher-core/src/rules/target_speed.rs
+++ b/crates/dispatcher-core/src/rules/target_speed.rs
@@ -143,8 +143,8 @@
         running: impl Iterator<Item = RunningAttempt<'a>>,
     ) -> Slowdown {
         let mut distribution = self.decayed(now);
-        for shown in running {
-            match shown {
+        for evidence in running {
+            match evidence {
                 RunningAttempt::AtPace {
                     times,
                     ratio,
@@ -154,9 +154,9 @@
                         times.likelihood(ratio / slowdown)
                     });
                     if let Some(by) = slowed_by {
-                        let shown = slowdown_at(f64::from(mean(&self.long_term))) * by;
+                        let observed = slowdown_at(f64::from(mean(&self.long_term))) * by;
                         apply_likelihood(&mut distribution, |slowdown| {
-                            pace_change_likelihood(shown, slowdown)
+                            pace_change_likelihood(observed, slowdown)
                         });
                     }
                 }
@@ -231,10 +231,10 @@
         .sum()
 }
 
-/// Returns the likelihood that the changed pace of an attempt shows the slowdown `shown` on a
-/// target of slowdown `other`.
-fn pace_change_likelihood(shown: f64, other: f64) -> f64 {
-    let steps = (shown / other).log2().abs() * STEPS_PER_OCTAVE;
+/// Returns the likelihood that the changed pace of an attempt shows the slowdown `observed` on
+/// a target of slowdown `other`.
+fn pace_change_likelihood(observed: f64, other: f64) -> f64 {
+    let steps = (observed / other).log2().abs() * STEPS_PER_OCTAVE;
     if steps <= f64::from(NEAR_STEPS) {
         1.0
     } else {
--- a/crates/dispatcher-core/src/targets/claims.rs
+++ b/crates/dispatcher-core/src/targets/claims.rs
@@ -167,11 +167,9 @@
         self.end_unsent(now, id);
         let misassigned = self.assignment.is_misassigned(id);
         match contention::respond(now, claim, misassigned) {
-            Response::TakeBack {
-                reset_lost_claims: forget_losses,
-            } => {
+            Response::TakeBack { reset_lost_claims } => {
                 let token = self.tokens.next(now);
-                self.reacquire(id, |lease| lease.take_back(now, token, forget_losses));
+                self.reacquire(id, |lease| lease.take_back(now, token, reset_lost_claims));
             }
             Response::RaiseToken { by_ms } => {
                 let token = self.tokens.next(now + by_ms);
--- a/crates/dispatcher-core/src/targets/learned_times.rs
+++ b/crates/dispatcher-core/src/targets/learned_times.rs
@@ -150,7 +150,7 @@
     }
 
     /// Records that an attempt is stopped because it took too long.
-    pub(super) fn record_outlived(&mut self, now: Millis, attempt: &Attempt, slowdown: f64) {
+    pub(super) fn record_overrun(&mut self, now: Millis, attempt: &Attempt, slowdown: f64) {
         let run_ms = now.saturating_sub(attempt.started) as f64;
         let scale_ms = self.scale_ms(attempt.estimate_ms, attempt.is_far);
         if let Some(kind) = self.kind_mut(now, &attempt.kind) {
--- a/crates/dispatcher-core/src/targets/lease.rs
+++ b/crates/dispatcher-core/src/targets/lease.rs
@@ -105,8 +105,8 @@
     }
 
     /// Starts to take the lease back from the host that took the target.
-    pub(super) fn take_back(&mut self, now: Millis, token: u64, forget_losses: bool) {
-        if forget_losses {
+    pub(super) fn take_back(&mut self, now: Millis, token: u64, reset_lost_claims: bool) {
+        if reset_lost_claims {
             self.claims_lost = 0;
         }
         self.incumbent_since = Some(self.held_since);
--- a/crates/dispatcher-core/src/targets/stops.rs
+++ b/crates/dispatcher-core/src/targets/stops.rs
@@ -110,7 +110,7 @@
             for (id, reason) in ending {
                 target.request_stop(&id, true);
                 if let Some(times) = &mut self.learned_times {
-                    times.record_outlived(now, &target.attempts[&id], target.slowdown(now));
+                    times.record_overrun(now, &target.attempts[&id], target.slowdown(now));
                 }
                 self.actions.push(Action::Record(Decision::AttemptStopping {
                     id,
--- a/crates/dispatcher-core/tests/answers.rs
+++ b/crates/dispatcher-core/tests/answers.rs
@@ -14,7 +14,7 @@
     rig.submit(1, ID, vec![step(2, 7_000, 60)], 3_000);
     let starts = rig.starts();
     assert_eq!(starts.len(), 2);
-    rig.pass(10);
+    rig.advance(10);
     let ends: Vec<_> = starts
         .iter()
         .enumerate()
@@ -30,7 +30,7 @@
     rig.submit(1, ID, vec![step(1, 7_000, 900)], 2_000);
     assert_eq!(rig.starts().len(), 1);
     // The only target stops replying, and its lease expires.
-    rig.pass(2_100);
+    rig.advance(2_100);
     assert_eq!(rig.answer_to(1), Some(&Answer::Unfinished));
 });
 
@@ -40,7 +40,7 @@
     for number in 1..=2 {
         let (_, _, key) = rig.starts().remove(0);
         assert_eq!(key.attempt, number as u32);
-        rig.pass(10);
+        rig.advance(10);
         for (call, _) in rig.renewals() {
             rig.listing(call, &[], &[ended(number, &key, ListedOutcome::Failed)]);
         }
@@ -54,7 +54,7 @@
         let mut rig = Rig::new();
         rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
         rig.event(Event::HostsRead(vec![peer_info()]));
-        rig.pass(50);
+        rig.advance(50);
         rig.answer_heartbeats(16_000);
         rig.submit(1, ID, vec![step(1, 7_000, 60)], 2_000);
         let asked = rig.requests(|request| matches!(request, Request::Place(_)));
@@ -64,7 +64,7 @@
             reply: Err(SendFailure::Unknown),
         });
         for _ in 0..250 {
-            rig.pass(10);
+            rig.advance(10);
             rig.answer_heartbeats(0);
         }
         let answer = rig.answer_to(1).expect("the job is answered");
@@ -78,7 +78,7 @@
     let running: Vec<_> = rig.starts().into_iter().map(|(_, _, key)| key).collect();
     rig.submit(2, "00000000000000aa", vec![step(1, 8_000, 60)], 2_000);
     for _ in 0..95 {
-        rig.pass(10);
+        rig.advance(10);
         for (call, _) in rig.renewals() {
             rig.listing(call, &running, &[]);
         }
@@ -119,7 +119,7 @@
     rig.submit(2, ID, vec![step(1, 7_000, 60)], 3_000);
     let starts = rig.starts();
     assert_eq!(starts.len(), 1);
-    rig.pass(10);
+    rig.advance(10);
     let (call, _) = rig.renewals().remove(0);
     rig.listing(call, &[], &[ended(1, &starts[0].2, ListedOutcome::Done)]);
     rig.submit(3, ID, vec![step(1, 7_000, 60)], 3_000);
@@ -136,12 +136,12 @@
     rig.event(Event::CallerGone {
         request_id: gannetridge_dispatcher_core::RequestId(1),
     });
-    rig.pass(1_300);
+    rig.advance(1_300);
     rig.submit(2, ID, vec![step(1, 7_000, 900)], 2_000);
     rig.event(Event::TargetsChanged(vec![
         gannetridge_dispatcher_core::event::TargetChange::Listed(target("other", 16)),
     ]));
-    rig.pass(50);
+    rig.advance(50);
     for (call, _) in rig.renewals() {
         rig.listing(call, &[], &[]);
     }
@@ -179,7 +179,7 @@
         3_000,
     );
     rig.submit(3, "00000000000000bb", vec![step(1, 16_000, 200)], 3_000);
-    rig.pass(10);
+    rig.advance(10);
     let (target_lease, _) = rig.renewals().remove(0);
     rig.listing(
         target_lease,
@@ -207,11 +207,11 @@
 
 case!(a_late_job_is_refused_while_jobs_on_time_wait, {
     let mut rig = waiting_for_a_full_target();
-    rig.pass(100);
+    rig.advance(100);
     rig.submit(3, "00000000000000b3", vec![step(1, 16_000, 100)], 3_000);
-    rig.pass(20);
+    rig.advance(20);
     assert_eq!(rig.answer_to(2), None, "the job can still be on time");
-    rig.pass(20);
+    rig.advance(20);
     // Without jobs on time that wait, it would be refused after 300 ms.
     assert!(matches!(rig.answer_to(2), Some(Answer::Refused { .. })));
     assert_eq!(rig.answer_to(3), None, "the job on time keeps waiting");
@@ -219,9 +219,9 @@
 
 case!(a_late_job_keeps_waiting_while_no_job_on_time_waits, {
     let mut rig = waiting_for_a_full_target();
-    rig.pass(280);
+    rig.advance(280);
     assert_eq!(rig.answer_to(2), None);
-    rig.pass(20);
+    rig.advance(20);
     assert!(matches!(rig.answer_to(2), Some(Answer::Refused { .. })));
 });
 
@@ -232,7 +232,7 @@
         rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
         // Useful for 1,140 ms; a host that has been running longer refuses it after 513 ms.
         rig.submit(1, ID, vec![step(1, 7_000, 200)], 3_000);
-        rig.pass(600);
+        rig.advance(600);
         assert_eq!(rig.answer_to(1), None);
         rig.submit(2, "5c0e7a21d94b36f9", vec![step(1, 7_000, 200)], 3_000);
         rig.now += 10;
@@ -247,7 +247,7 @@
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
     rig.submit(1, ID, vec![step(1, 7_000, 200)], 3_000);
-    rig.pass(950);
+    rig.advance(950);
     assert!(matches!(rig.answer_to(1), Some(Answer::Refused { .. })));
 });
 
@@ -255,6 +255,6 @@
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
     rig.submit(1, ID, vec![step(1, 7_000, 200)], 500);
-    rig.pass(420);
+    rig.advance(420);
     assert!(matches!(rig.answer_to(1), Some(Answer::Refused { .. })));
 });
--- a/crates/dispatcher-core/tests/arrival.rs
+++ b/crates/dispatcher-core/tests/arrival.rs
@@ -204,7 +204,7 @@
     let mut rig = full_host(WaitingOrder::Shares);
     rig.submit(2, "5c0e7a21d94b36f9", vec![step(1, 7_000, 60)], 1_500);
     assert_eq!(rig.answer_to(2), None);
-    rig.pass(400);
+    rig.advance(400);
     assert!(matches!(rig.answer_to(2), Some(Answer::Refused { .. })));
 });
 
@@ -222,7 +222,7 @@
     rig.submit(2, "5c0e7a21d94b36f9", vec![step(1, 7_000, 60)], 1_500);
     let long = vec![step(1, 7_000, 900)];
     rig.submit_to("/long/", 3, "5c0e7a21d94b36fa", long, 5_000);
-    rig.pass(150);
+    rig.advance(150);
     rig.answer_to(2).is_some()
 }
 
--- a/crates/dispatcher-core/tests/backlog.rs
+++ b/crates/dispatcher-core/tests/backlog.rs
@@ -48,7 +48,7 @@
 
 /// Hands tasks over as the peer; returns the positions of those started and of those queued.
 fn hand_over(rig: &mut Rig, tasks: Vec<HandedTask>) -> (Vec<u32>, Vec<u32>) {
-    rig.peer_asks(9, Request::HandOver(tasks));
+    rig.send_peer_request(9, Request::HandOver(tasks));
     let (_, reply) = rig.replies.pop().expect("a reply");
     match reply.body {
         ReplyBody::WithLoad { body, .. } => match *body {
@@ -97,7 +97,7 @@
 
 case!(a_waiting_task_starts_in_the_event_that_lists_an_end, {
     let (mut rig, running) = full_holder();
-    rig.pass(20);
+    rig.advance(20);
     list_end(&mut rig, &running[1..], &running[0]);
     assert_eq!(started_tasks(&mut rig), ["b.0.0.0"]);
 });
@@ -146,7 +146,7 @@
 case!(a_withdrawn_task_is_returned_and_never_started, {
     let (mut rig, running) = full_holder();
     let keys = vec![handed(&rig, "b.0.0.0", 100).order.id];
-    rig.peer_asks(10, Request::Stop { keys, report: true });
+    rig.send_peer_request(10, Request::Stop { keys, report: true });
     assert_eq!(returned(&mut rig), ["b.0.0.0"]);
     list_end(&mut rig, &running[1..], &running[0]);
     assert!(started_tasks(&mut rig).is_empty());
@@ -161,7 +161,7 @@
     assert_eq!(hand_over(&mut rig, vec![task]).1, [0]);
     let silent_until = rig.now + owner_lease + 10;
     while rig.now < silent_until {
-        rig.pass(10);
+        rig.advance(10);
         for (call, _) in rig.renewals() {
             rig.listing(call, &running, &[]);
         }
@@ -172,7 +172,7 @@
 
 case!(tasks_of_an_earlier_session_are_dropped, {
     let (mut rig, running) = full_holder();
-    rig.peer_asks_as(11, peer_info().incarnation, 2, Request::Configuration);
+    rig.send_peer_request_as(11, peer_info().incarnation, 2, Request::Configuration);
     list_end(&mut rig, &running[1..], &running[0]);
     assert!(started_tasks(&mut rig).is_empty());
 });
@@ -188,7 +188,7 @@
     let mut leaving = target("near", 16);
     leaving.leaving = true;
     rig.event(Event::TargetsRead(vec![leaving].into()));
-    rig.pass(60);
+    rig.advance(60);
     assert_eq!(returned(&mut rig), ["b.0.0.0"]);
 });
 
@@ -199,7 +199,7 @@
     let mut task = handed(&rig, "c.0.0.0", 100);
     task.priority.urgency = peers_urgency;
     task.priority.slack_ms = peers_slack_ms;
-    rig.peer_asks(
+    rig.send_peer_request(
         12,
         Request::Stop {
             keys: vec![handed(&rig, "b.0.0.0", 100).order.id],
@@ -226,7 +226,7 @@
     rig.event(Event::HostsRead(vec![peer_info()]));
     rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
     for _ in 0..100 {
-        rig.pass(10);
+        rig.advance(10);
         let heartbeats = rig.requests(|request| matches!(request, Request::Heartbeat(_)));
         for (call, _) in heartbeats {
             let body = ReplyBody::Heartbeat(gannetridge_dispatcher_core::message::HeartbeatReply {
@@ -288,12 +288,12 @@
         outcome,
         target: "".into(),
     };
-    rig.peer_asks(20, Request::Ended(vec![end]));
+    rig.send_peer_request(20, Request::Ended(vec![end]));
 }
 
 case!(a_task_is_handed_over_once, {
     let (mut rig, _) = owner_with_task_at_peer();
-    rig.pass(100);
+    rig.advance(100);
     assert!(handed_over(&mut rig).is_empty());
 });
 
@@ -314,7 +314,7 @@
     let (mut rig, task) = owner_with_task_at_peer();
     report_end(&mut rig, &task.order.id, AttemptOutcome::NotStarted);
     for _ in 0..50 {
-        rig.pass(10);
+        rig.advance(10);
         for (call, _) in handed_over(&mut rig) {
             let body = ReplyBody::HandedOver {
                 started: vec![],
@@ -335,7 +335,7 @@
         let (call, tasks) = handed_over(&mut rig).remove(0);
         let reply = Err(SendFailure::Unknown);
         rig.event(Event::PeerReply { call, reply });
-        rig.pass(10);
+        rig.advance(10);
         let stops = rig.requests(|request| matches!(request, Request::Stop { report: true, .. }));
         assert_eq!(stops.len(), 1);
         assert!(handed_over(&mut rig).is_empty(), "it may be running there");
--- a/crates/dispatcher-core/tests/congestion.rs
+++ b/crates/dispatcher-core/tests/congestion.rs
@@ -56,13 +56,13 @@
     });
     rig.event(Event::HostsRead(peers.collect()));
     rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
-    rig.pass(50);
+    rig.advance(50);
     rig.answer_heartbeats(0);
     rig.submit(1, "5c0e7a21d94b36f8", vec![step(4, 7_000, 1_500)], 9_000);
     let mut demands = 0;
     let mut open = Vec::new();
     for _ in 0..100 {
-        rig.pass(10);
+        rig.advance(10);
         for (call, envelope) in rig.requests(|_| true) {
             demands += usize::from(matches!(envelope.request, Request::Demand(_)));
             open.push((rig.now + took_ms, call, envelope.request));
--- a/crates/dispatcher-core/tests/crashing_tasks.rs
+++ b/crates/dispatcher-core/tests/crashing_tasks.rs
@@ -89,7 +89,7 @@
     }
 
     /// Lets the targets work and answer for this long.
-    fn pass(&mut self, ms: Millis) {
+    fn advance(&mut self, ms: Millis) {
         for _ in 0..ms / 10 {
             self.work();
             for called in std::mem::take(&mut self.rig.calls) {
@@ -97,7 +97,7 @@
                 let call = called.call;
                 self.rig.event(Event::TargetReply { call, reply });
             }
-            self.rig.pass(10);
+            self.rig.advance(10);
         }
     }
 
@@ -179,7 +179,7 @@
         for number in 1..=8 {
             cluster.submit(number);
         }
-        cluster.pass(4_000);
+        cluster.advance(4_000);
         assert_eq!(cluster.crashes, [(task(1), 7), (task(1), 0)]);
         assert_eq!(cluster.answer_to(1), Some(&Answer::Failed));
         for number in 2..=8 {
@@ -198,7 +198,7 @@
     for number in 1..=100 {
         cluster.submit(number);
     }
-    cluster.pass(8_000);
+    cluster.advance(8_000);
     for number in 1..=100 {
         let name = task(number);
         let crashes = cluster
@@ -226,21 +226,21 @@
 case!(crashes_of_a_resubmitted_job_are_added_up, {
     let mut cluster = TestCluster::new(6, only_the_first);
     cluster.submit(1);
-    cluster.pass(100);
+    cluster.advance(100);
     assert_eq!(cluster.crashes.len(), 1);
     // The caller disconnects before the crash is known.
     let request_id = RequestId(1);
     cluster.rig.event(Event::CallerGone { request_id });
-    cluster.pass(1_300);
+    cluster.advance(1_300);
     let steps = vec![step(1, 2_000, WORK_MS)];
     cluster.rig.submit(2, &id(1), steps.clone(), 8_000);
-    cluster.pass(3_000);
+    cluster.advance(3_000);
     // The attempt was being stopped at the first crash, so it takes two more to be certain.
     assert_eq!(cluster.rig.answer_to(2), Some(&Answer::Failed));
     assert_eq!(cluster.crashes.len(), 3);
     cluster.rig.submit(3, &id(1), steps, 8_000);
     assert_eq!(cluster.rig.answer_to(3), Some(&Answer::Failed), "at once");
-    cluster.pass(1_000);
+    cluster.advance(1_000);
     assert_eq!(cluster.starts[&task(1)], 3);
 });
 
@@ -256,7 +256,7 @@
 
 case!(crashes_reported_by_a_peer_limit_starts, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.peer_asks(8, crash_report(1, 1));
+    rig.send_peer_request(8, crash_report(1, 1));
     rig.submit(1, &id(1), vec![step(2, 2_000, WORK_MS)], 1_500);
     assert_eq!(rig.answer_to(1), Some(&Answer::Failed));
     assert_eq!(rig.starts(), []);
@@ -264,9 +264,9 @@
 
 case!(crash_counts_of_a_job_that_is_resubmitted_are_kept, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.peer_asks(8, crash_report(1, 1));
+    rig.send_peer_request(8, crash_report(1, 1));
     for request_id in 1..=3 {
-        rig.pass(5_000);
+        rig.advance(5_000);
         let steps = vec![step(2, 2_000, WORK_MS)];
         rig.submit(request_id, &id(1), steps, 1_500);
         assert_eq!(rig.answer_to(request_id), Some(&Answer::Failed));
@@ -276,7 +276,7 @@
 
 case!(a_task_with_one_reported_crash_runs_alone, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.peer_asks(8, crash_report(1, 0));
+    rig.send_peer_request(8, crash_report(1, 0));
     rig.submit(1, &id(1), vec![step(2, 2_000, WORK_MS)], 1_500);
     rig.submit(2, &id(2), vec![step(1, 2_000, WORK_MS)], 1_500);
     let starts = rig.starts();
@@ -310,12 +310,12 @@
     let targets: Vec<_> = (0..8).map(|at| target(&format!("t-{at}"), 16)).collect();
     rig.event(Event::TargetsRead(targets.into()));
     for _ in 0..100 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(0);
     }
     rig.idle_targets_answer();
     for _ in 0..50 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(0);
     }
     rig.submit(1, &id(1), vec![step(1, 2_000, WORK_MS)], 8_000);
@@ -342,7 +342,7 @@
             let reply = Err(failure);
             rig.event(Event::TargetReply { call, reply });
         }
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(0);
     }
 }
@@ -371,22 +371,22 @@
 }
 
 /// Declares tests, each with the numbers of targets that crashed under a task alone, beside others
-/// and perhaps, the time since the last crash in ms, and the verdict.
-macro_rules! verdicts {
+/// and perhaps, the time since the last crash in ms, and the decision.
+macro_rules! decisions {
     ($($name:ident: $alone:literal, $beside_others:literal, $perhaps:literal, $since_ms:literal
-        => $verdict:ident;)+) => {
+        => $decision:ident;)+) => {
         $(case!($name, {
             let crashes = Crashes {
                 alone: $alone,
                 beside_others: $beside_others,
                 perhaps: $perhaps,
             };
-            assert_eq!(crashes.decision($since_ms), CrashDecision::$verdict);
+            assert_eq!(crashes.decision($since_ms), CrashDecision::$decision);
         });)+
     };
 }
 
-verdicts! {
+decisions! {
     no_crash: 0, 0, 0, 0 => Trusted;
     beside_others_once: 0, 1, 0, 49 => Quarantined;
     beside_others_once_and_no_empty_target: 0, 1, 0, 50 => Trusted;
@@ -443,13 +443,13 @@
         let (call, on, attempt) = rig.starts().pop().expect("a start");
         let clock = rig.now + 500_000;
         rig.target_reply(call, TargetReply::Accepted { clock });
-        rig.pass(90);
+        rig.advance(90);
         answer_renewals(&mut rig, &on, incarnation, &[(attempt, 64)]);
         // The attempt is done some 50 ms later. The target crashes before it lists the end, and
         // restarts at once.
-        rig.pass(300);
+        rig.advance(300);
         answer_renewals(&mut rig, &on, incarnation + 10, &[]);
-        rig.pass(60);
+        rig.advance(60);
     }
     rig.answer_to(1).cloned()
 }
--- a/crates/dispatcher-core/tests/draining.rs
+++ b/crates/dispatcher-core/tests/draining.rs
@@ -36,7 +36,7 @@
         vec![target("near", 16), in_south("far")].into(),
     ));
     for _ in 0..100 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(0);
         for (call, _) in rig.renewals() {
             rig.listing(call, &[], &[]);
@@ -49,7 +49,7 @@
     let mut rig = north_and_south();
     drain(&mut rig, 5, &["north"]);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
-    rig.pass(60);
+    rig.advance(60);
     assert!(rig.starts().is_empty());
     assert_eq!(rig.answer_to(1), None, "the other hall could run it");
 });
@@ -58,7 +58,7 @@
     let mut rig = north_and_south();
     drain(&mut rig, 5, &["north"]);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
-    rig.pass(20);
+    rig.advance(20);
     rig.event(Event::DrainingHallsChanged {
         version: 6,
         changes: vec![HallChange {
@@ -78,19 +78,19 @@
     let clock = rig.now + 500_000;
     rig.target_reply(call, TargetReply::Accepted { clock });
     drain(&mut rig, 5, &["north"]);
-    rig.pass(40);
+    rig.advance(40);
     assert!(rig.stops().is_empty());
     for (call, _) in rig.renewals() {
         rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Failed)]);
     }
-    rig.pass(40);
+    rig.advance(40);
     assert!(rig.starts().is_empty());
 });
 
 case!(a_peers_tasks_are_not_started_in_a_draining_hall, {
     let mut rig = north_and_south();
     drain(&mut rig, 5, &["north"]);
-    rig.peer_asks(1, Request::Place(vec![order("0123456789abcdef.0.0.0", 60)]));
+    rig.send_peer_request(1, Request::Place(vec![order("0123456789abcdef.0.0.0", 60)]));
     let (_, reply) = rig.replies.last().expect("a reply");
     assert!(matches!(&reply.body, ReplyBody::Placed(started) if started.is_empty()));
     assert!(reply.free.is_empty(), "no free resources are advertised");
@@ -111,8 +111,8 @@
     let reserved = |halls: &[&str]| {
         let mut rig = north_and_south();
         drain(&mut rig, 5, halls);
-        rig.peer_asks(1, Request::Demand(Some(demand.clone())));
-        rig.pass(20);
+        rig.send_peer_request(1, Request::Demand(Some(demand.clone())));
+        rig.advance(20);
         let reservations = rig.requests(|request| matches!(request, Request::Reservation(_)));
         reservations.len()
     };
@@ -149,12 +149,12 @@
     let clock = rig.now + 500_000;
     rig.target_reply(call, TargetReply::Accepted { clock });
     drain(&mut rig, 5, &["north", "south"]);
-    rig.pass(20);
+    rig.advance(20);
     assert_eq!(rig.answer_to(1), None, "the job is still running");
     for (call, _) in rig.renewals() {
         rig.listing(call, &[], &[ended(1, &key, ListedOutcome::Failed)]);
     }
-    rig.pass(20);
+    rig.advance(20);
     assert_eq!(rig.answer_to(1), Some(&Answer::Unfinished));
 });
 
@@ -172,12 +172,12 @@
         vec![target("near", 16), in_south("far")].into(),
     ));
     for _ in 0..40 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(0);
     }
     drain(&mut rig, 5, &["north"]);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
-    rig.pass(10);
+    rig.advance(10);
     let demands = rig.requests(|request| matches!(request, Request::Demand(_)));
     let ports = demands.iter().map(|(call, _)| rig.addresses[call].port());
     let mut ports: Vec<u16> = ports.collect();
--- a/crates/dispatcher-core/tests/failure_source.rs
+++ b/crates/dispatcher-core/tests/failure_source.rs
@@ -63,7 +63,7 @@
             9_000,
         );
         rig.idle_targets_answer();
-        rig.pass(10);
+        rig.advance(10);
         fail_all(&mut rig, &mut ended_so_far);
     }
     (100..106).for_each(|number| {
--- a/crates/dispatcher-core/tests/holder_choice.rs
+++ b/crates/dispatcher-core/tests/holder_choice.rs
@@ -40,11 +40,11 @@
     }
 }
 
-fn elsewhere(near: Availability, news_age_ms: Millis) -> HolderView {
+fn elsewhere(near: Availability, update_age_ms: Millis) -> HolderView {
     HolderView {
         other_hall: true,
         transit_ms: 5,
-        update_age_ms: news_age_ms,
+        update_age_ms,
         ..holder(near, Availability::None)
     }
 }
@@ -106,10 +106,10 @@
 });
 
 case!(old_updates_count_less_but_exclude_no_holder, {
-    let takes = |news_age_ms, latest_start_ms| {
+    let takes = |update_age_ms, latest_start_ms| {
         let holders = [
             holder(wait(50), Availability::None),
-            elsewhere(FREE, news_age_ms),
+            elsewhere(FREE, update_age_ms),
         ];
         chosen(&holders, latest_start_ms).expect("a holder").0
     };
@@ -161,9 +161,9 @@
 );
 
 /// Restricts the choice to some holders.
-fn keep(holders: &mut [HolderView], is_kept: impl Fn(usize, &HolderView) -> bool) {
+fn restrict(holders: &mut [HolderView], is_eligible: impl Fn(usize, &HolderView) -> bool) {
     for (at, holder) in holders.iter_mut().enumerate() {
-        if !is_kept(at, holder) {
+        if !is_eligible(at, holder) {
             (holder.near, holder.far) = (Availability::None, Availability::None);
         }
     }
@@ -172,7 +172,7 @@
 /// The rule, and the alternatives that it is compared with: the least expected end regardless of
 /// the hall and the age of updates, two holders picked by a hash, the own hall only, and no targets
 /// far from the data.
-const WAYS: [(&str, AdjustViews); 5] = [
+const RULES: [(&str, AdjustViews); 5] = [
     ("rule", |_, _| {}),
     ("least of all", |_, holders| {
         for holder in holders {
@@ -182,13 +182,13 @@
     ("two of all", |task, holders| {
         let hash = xxh3_64(task.name.as_bytes());
         let two = [hash >> 32, hash & 0xffff_ffff].map(|share| share as usize % holders.len());
-        keep(holders, |at, _| two.contains(&at));
+        restrict(holders, |at, _| two.contains(&at));
     }),
     ("own hall", |_, holders| {
-        keep(holders, |_, holder| !holder.other_hall)
+        restrict(holders, |_, holder| !holder.other_hall)
     }),
     ("near only", |_, holders| {
-        keep(holders, |_, holder| holder.far == Availability::None)
+        restrict(holders, |_, holder| holder.far == Availability::None)
     }),
 ];
 
@@ -201,12 +201,12 @@
 
 /// Simulates a load under the rule and each alternative; prints and returns the shares that
 /// `shares` computes over the tasks of all seeds.
-fn compare_ways<const N: usize>(load: &Load, shares: fn(&[Task]) -> [f64; N]) -> [[f64; N]; 5] {
-    WAYS.map(|(way, change)| {
+fn compare_rules<const N: usize>(load: &Load, shares: fn(&[Task]) -> [f64; N]) -> [[f64; N]; 5] {
+    RULES.map(|(rule_name, change)| {
         let tasks: Vec<Task> = (0..4)
             .flat_map(|seed| simulate(load, change, seed))
             .collect();
-        println!("{way}: {:.3?}", shares(&tasks));
+        println!("{rule_name}: {:.3?}", shares(&tasks));
         shares(&tasks)
     })
 }
@@ -223,7 +223,7 @@
         (0, 1_000..2_500) => 1.4,
         _ => 0.55,
     };
-    let [rule, _, two, own, _] = compare_ways(&Load { demand, ..EQUAL }, |tasks| {
+    let [rule, _, two, own, _] = compare_rules(&Load { demand, ..EQUAL }, |tasks| {
         let spread = |task: &Task| task.hall() == 0 && (1_300..2_500).contains(&task.arrived_at);
         let others = |task: &Task| task.hall() > 0 && (1_000..2_500).contains(&task.arrived_at);
         [spread, others].map(|some| share(tasks, some, Task::is_late))
@@ -234,14 +234,14 @@
 
 case!(halls_of_equal_load_do_not_exchange_work, {
     let demand = |_, _| 0.9;
-    let [rule, least, ..] = compare_ways(&Load { demand, ..EQUAL }, |tasks| {
+    let [rule, least, ..] = compare_rules(&Load { demand, ..EQUAL }, |tasks| {
         [Task::is_in_other_hall, Task::is_late].map(|holds| share(tasks, |_| true, holds))
     });
     assert!(rule[0] < 0.02 && rule[1] < least[1]);
 });
 
 case!(tasks_with_little_slack_leave_a_hot_rack_first, {
-    let [rule, .., near] = compare_ways(&Load { hot: 0.5, ..EQUAL }, |tasks| {
+    let [rule, .., near] = compare_rules(&Load { hot: 0.5, ..EQUAL }, |tasks| {
         let far = |tight: bool| {
             let some = |task: &Task| task.is_hot && (task.may_wait_ms < RUNNING_MS) == tight;
             share(tasks, some, Task::is_far)
@@ -257,7 +257,7 @@
 
 case!(updates_that_are_two_seconds_old_do_no_harm, {
     let update_ms = 2_000;
-    let [rule, least, ..] = compare_ways(&Load { update_ms, ..EQUAL }, |tasks| {
+    let [rule, least, ..] = compare_rules(&Load { update_ms, ..EQUAL }, |tasks| {
         [share(tasks, |_| true, Task::is_late)]
     });
     assert!(rule[0] < 0.03 && rule[0] < least[0]);
@@ -271,7 +271,7 @@
         demand,
         ..EQUAL
     };
-    let [rule, least, ..] = compare_ways(&load, |tasks| {
+    let [rule, least, ..] = compare_rules(&load, |tasks| {
         let at_first = |task: &Task| task.hall() == 0 && (1_000..3_500).contains(&task.arrived_at);
         let after = |task: &Task| task.hall() == 0 && task.arrived_at > 3_600;
         [
--- a/crates/dispatcher-core/tests/learned_speeds.rs
+++ b/crates/dispatcher-core/tests/learned_speeds.rs
@@ -125,7 +125,7 @@
         let end = self.rig.now + ms;
         while self.rig.now < end {
             self.submit();
-            self.rig.pass(10);
+            self.rig.advance(10);
             self.targets
                 .values_mut()
                 .for_each(|target| target.advance(10.0));
--- a/crates/dispatcher-core/tests/many_peers.rs
+++ b/crates/dispatcher-core/tests/many_peers.rs
@@ -34,7 +34,7 @@
     let mut count = 0;
     let end = rig.now + ms;
     while rig.now < end {
-        rig.pass(10);
+        rig.advance(10);
         count += rig
             .requests
             .iter()
@@ -66,7 +66,7 @@
 case!(silent_peers_are_detected_among_many, {
     let mut rig = with_peers(48);
     heartbeats_in(&mut rig, 5_000, 0);
-    rig.pass(2_200);
+    rig.advance(2_200);
     assert_eq!(rig.host.counts(rig.now).peers_alive, 0);
 });
 
@@ -79,7 +79,7 @@
         let demands = rig.requests(|request| matches!(request, Request::Demand(Some(_))));
         assert_eq!(demands.len(), 8);
         recipients.extend(demands.into_iter().map(|(call, _)| rig.addresses[&call]));
-        rig.pass(100);
+        rig.advance(100);
     }
     recipients.sort();
     recipients.dedup();
@@ -90,7 +90,7 @@
     let mut rig = with_peers(48);
     heartbeats_in(&mut rig, 5_000, 16_000);
     // Nothing was received from any peer for longer than half an owner lease.
-    rig.pass(300);
+    rig.advance(300);
     rig.requests(|_| true);
     rig.submit(1, ID, vec![step(1, 7_000, 300)], 3_000);
     assert_eq!(rig.requests(is_place).len(), 0);
@@ -124,7 +124,7 @@
         .clock;
     let owner_lease = support::BOUNDS.times().unwrap().owner_lease_ms;
     for _ in 0..150 {
-        rig.pass(10);
+        rig.advance(10);
         let requests = rig.requests.iter();
         let to_holder = requests.filter(|(call, _)| rig.addresses[call] == holder);
         let clocks = to_holder.filter_map(|(_, e)| e.echoed_clock);
--- a/crates/dispatcher-core/tests/messages.rs
+++ b/crates/dispatcher-core/tests/messages.rs
@@ -33,8 +33,8 @@
         }
         text.push_str(&"   ".repeat(16 - line.len()));
         for byte in line {
-            let shown = byte.is_ascii_graphic();
-            text.push(if shown { char::from(*byte) } else { '.' });
+            let is_printable = byte.is_ascii_graphic();
+            text.push(if is_printable { char::from(*byte) } else { '.' });
         }
         text.push('\n');
     }
--- a/crates/dispatcher-core/tests/peers.rs
+++ b/crates/dispatcher-core/tests/peers.rs
@@ -15,7 +15,7 @@
     rig.event(Event::HostsRead(vec![peer_info()]));
     rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
     for _ in 0..100 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(free_cpu);
     }
     assert!(rig.renewals().is_empty(), "the peer holds its lease");
@@ -26,9 +26,9 @@
     targets_of_a_silent_peer_are_acquired_after_two_owner_leases,
     {
         let mut rig = with_peer(0);
-        rig.pass(900);
+        rig.advance(900);
         assert!(rig.renewals().is_empty(), "the peer may only be slow");
-        rig.pass(400);
+        rig.advance(400);
         assert_eq!(rig.renewals().len(), 1);
     }
 );
@@ -37,13 +37,13 @@
     targets_of_a_peer_that_refuses_connections_are_acquired_at_once,
     {
         let mut rig = with_peer(0);
-        rig.pass(200);
+        rig.advance(200);
         let heartbeats = rig.requests(|request| matches!(request, Request::Heartbeat(_)));
         rig.event(Event::PeerReply {
             call: heartbeats[0].0,
             reply: Err(SendFailure::Refused),
         });
-        rig.pass(60);
+        rig.advance(60);
         assert_eq!(rig.renewals().len(), 1);
     }
 );
@@ -60,13 +60,13 @@
     rig.event(Event::HostsRead(others));
     rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
     for _ in 0..100 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(0);
     }
     // All three are silent at once: probably this host is cut off.
-    rig.pass(7_000);
+    rig.advance(7_000);
     assert!(rig.renewals().is_empty());
-    rig.pass(2_000);
+    rig.advance(2_000);
     assert_eq!(rig.renewals().len(), 1, "after 8 s the peers count as dead");
 });
 
@@ -74,7 +74,7 @@
     a_holder_reacquires_a_target_each_time_another_host_acquires_it,
     {
         let mut rig = Rig::holding_targets(&[target("near", 16)]);
-        rig.pass(3_100);
+        rig.advance(3_100);
         for _ in 0..3 {
             for (call, _) in rig.renewals() {
                 let clock = rig.now + 500_000;
@@ -83,7 +83,7 @@
             let renewals = rig.renewals();
             assert_eq!(renewals.len(), 1, "it is reacquired at once");
             rig.listing(renewals[0].0, &[], &[]);
-            rig.pass(3_000);
+            rig.advance(3_000);
         }
     }
 );
@@ -99,11 +99,11 @@
             call: asked[0].0,
             reply,
         });
-        let last_heard = rig.now;
+        let last_contact = rig.now;
         let mut starts = Vec::new();
         while starts.is_empty() {
-            rig.pass(10);
-            assert!(rig.now < last_heard + 5_000, "the task is started again");
+            rig.advance(10);
+            assert!(rig.now < last_contact + 5_000, "the task is started again");
             for (call, _) in rig.renewals() {
                 rig.listing(call, &[], &[]);
             }
@@ -111,8 +111,8 @@
         }
         let over = support::BOUNDS.times().unwrap().lost_attempts_over_ms;
         assert!(
-            rig.now >= last_heard + over,
-            "{} after {last_heard}",
+            rig.now >= last_contact + over,
+            "{} after {last_contact}",
             rig.now
         );
         assert_eq!(starts[0].2.attempt, 2);
@@ -122,11 +122,11 @@
 case!(attempts_are_stopped_when_the_owner_lease_expires, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let order = order("00000000000000aa.0.0.0", 900);
-    rig.peer_asks(1, Request::Place(vec![order.clone()]));
+    rig.send_peer_request(1, Request::Place(vec![order.clone()]));
     assert!(matches!(rig.replies[0].1.body, ReplyBody::Placed(_)));
     assert_eq!(rig.starts().len(), 1);
     // The peer is silent for longer than an owner lease.
-    rig.pass(600);
+    rig.advance(600);
     assert_eq!(rig.stops(), vec![order.id]);
 });
 
@@ -139,7 +139,7 @@
         pool: "pool".into(),
         resources: support::resources(8_000),
     };
-    rig.peer_asks(1, Request::Reservation(free));
+    rig.send_peer_request(1, Request::Reservation(free));
     assert!(matches!(rig.replies[0].1.body, ReplyBody::Interested(true)));
     assert_eq!(rig.requests(|r| matches!(r, Request::Place(_))).len(), 1);
     assert_eq!(rig.answer_to(1), None::<&Answer>);
@@ -150,9 +150,9 @@
     {
         let mut rig = with_peer(16_000);
         // The earlier incarnation has reached session 5.
-        rig.peer_asks_as(1, 7, 5, Request::Demand(None));
+        rig.send_peer_request_as(1, 7, 5, Request::Demand(None));
         // This host learns of the new incarnation, whose sessions start at 1, by a reply.
-        rig.pass(200);
+        rig.advance(200);
         let heartbeats = rig.requests(|request| matches!(request, Request::Heartbeat(_)));
         let mut reply = rig.reply(
             ReplyBody::Heartbeat(gannetridge_dispatcher_core::message::HeartbeatReply {
@@ -168,7 +168,7 @@
             call: heartbeats[0].0,
             reply: Ok(reply),
         });
-        rig.peer_asks_as(2, 8, 1, Request::Ended(Vec::new()));
+        rig.send_peer_request_as(2, 8, 1, Request::Ended(Vec::new()));
         let reply = rig.replies.iter().find(|(request_id, _)| request_id.0 == 2);
         assert!(matches!(reply.unwrap().1.body, ReplyBody::Acknowledged));
     }
@@ -177,7 +177,7 @@
 case!(ends_that_were_not_acknowledged_are_sent_again, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let order = order("00000000000000aa.0.0.0", 900);
-    rig.peer_asks(1, Request::Place(vec![order.clone()]));
+    rig.send_peer_request(1, Request::Place(vec![order.clone()]));
     let start = rig.starts().remove(0);
     rig.target_reply(
         start.0,
@@ -185,7 +185,7 @@
             clock: rig.now + 500_000,
         },
     );
-    rig.pass(20);
+    rig.advance(20);
     let renewal = rig.renewals().remove(0);
     let end = support::ended(
         1,
@@ -199,21 +199,21 @@
     let reply = Ok(rig.reply(ReplyBody::Stale, 0));
     let call = sent[0].0;
     rig.event(Event::PeerReply { call, reply });
-    rig.pass(150);
+    rig.advance(150);
     assert_eq!(rig.requests(ended).len(), 1, "they are sent once more");
 });
 
 case!(attempts_of_an_earlier_incarnation_of_a_peer_are_stopped, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let order = order("00000000000000aa.0.0.0", 900);
-    rig.peer_asks(1, Request::Place(vec![order.clone()]));
+    rig.send_peer_request(1, Request::Place(vec![order.clone()]));
     let start = rig.starts().remove(0);
     let clock = rig.now + 500_000;
     rig.target_reply(start.0, TargetReply::Accepted { clock });
     // The peer restarts within an owner lease.
-    rig.pass(200);
+    rig.advance(200);
     assert!(rig.stops().is_empty(), "its lease is valid");
-    rig.peer_asks_as(2, 8, 1, Request::Demand(None));
+    rig.send_peer_request_as(2, 8, 1, Request::Demand(None));
     assert_eq!(rig.stops(), vec![order.id]);
 });
 
@@ -223,7 +223,7 @@
     rig.event(Event::HostsRead(vec![peer_info()]));
     let targets: Vec<_> = (0..20).map(|n| target(&format!("t{n}"), 16)).collect();
     rig.event(Event::TargetsRead(targets.into()));
-    rig.pass(ms);
+    rig.advance(ms);
     rig.renewals().len()
 }
 
@@ -266,7 +266,7 @@
         };
         let mut acquired = 0;
         for _ in 0..60 {
-            rig.pass(10);
+            rig.advance(10);
             answer_peer(&mut rig);
             acquired += rig.renewals().len();
         }
--- a/crates/dispatcher-core/tests/shrinking_capacity.rs
+++ b/crates/dispatcher-core/tests/shrinking_capacity.rs
@@ -51,7 +51,7 @@
 
 /// Lets the target list its capacity and its running attempts.
 fn list_capacity(rig: &mut Rig, capacity: &ListedCapacity, running: &[AttemptId]) {
-    rig.pass(10);
+    rig.advance(10);
     assert!(
         answer_renewals(rig, capacity, running, &[]) > 0,
         "a renewal is due"
@@ -118,9 +118,9 @@
 
 case!(growth_in_the_entry_is_confirmed_at_once, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
-    rig.pass(3_000);
+    rig.advance(3_000);
     assert_eq!(answer_renewals(&mut rig, &cores(4), &[], &[]), 1);
-    rig.pass(100);
+    rig.advance(100);
     assert_eq!(rig.renewals().len(), 0, "an idle target is renewed rarely");
     change_entry(&mut rig, 8);
     assert_eq!(submit(&mut rig, 2, 2).len(), 1);
@@ -139,7 +139,7 @@
     let ids: Vec<AttemptId> = in_flight.iter().map(|start| start.2.clone()).collect();
     list_capacity(&mut rig, &cores(12), &ids[..1]);
     let end = [ended(1, &ids[0], ListedOutcome::Done)];
-    rig.pass(10);
+    rig.advance(10);
     answer_renewals(&mut rig, &cores(12), &ids[1..], &end);
     assert_eq!(submit(&mut rig, 2, 1), [], "three of 4 cores fill 12");
 });
@@ -149,7 +149,7 @@
     list_capacity(&mut rig, &cores(5), &ids);
     assert_eq!(submit(&mut rig, 2, 1), []);
     let end = [ended(1, &ids[0], ListedOutcome::Done)];
-    rig.pass(10);
+    rig.advance(10);
     answer_renewals(&mut rig, &cores(5), &ids[1..], &end);
     assert_eq!(
         accept_starts(&mut rig),
@@ -157,7 +157,7 @@
         "12 cores are in use, of a capacity of 5"
     );
     assert_eq!(rig.stops(), []);
-    rig.pass(10);
+    rig.advance(10);
     let ends: Vec<ListedEnd> = (1..4)
         .map(|at| ended(1 + at as u64, &ids[at], ListedOutcome::Done))
         .collect();
@@ -174,7 +174,7 @@
     });
     assert_eq!(rig.stops().len(), 2);
     assert_eq!(submit(&mut rig, 2, 1), []);
-    rig.pass(10);
+    rig.advance(10);
     let ends = [1, 2].map(|at| ended(at as u64, &ids[at - 1], ListedOutcome::Interrupted));
     answer_renewals(&mut rig, &cores(8), &[], &ends);
     assert_eq!(accept_starts(&mut rig).len(), 1);
@@ -184,7 +184,7 @@
     let (mut rig, ids) = holder_with_tasks(1);
     list_capacity(&mut rig, &cores(0), &ids);
     assert_eq!(submit(&mut rig, 2, 1), []);
-    rig.pass(100);
+    rig.advance(100);
     assert_eq!(rig.stops(), []);
     list_capacity(&mut rig, &cores(16), &ids);
     assert_eq!(accept_starts(&mut rig).len(), 1);
@@ -219,7 +219,7 @@
 case!(a_new_incarnation_starts_with_its_entry, {
     let (mut rig, ids) = holder_with_tasks(1);
     list_capacity(&mut rig, &cores(4), &ids);
-    rig.pass(10);
+    rig.advance(10);
     for (call, _) in rig.renewals() {
         let reply = TargetReply::Listing {
             clock: 40,
@@ -230,7 +230,7 @@
         };
         rig.target_reply(call, reply);
     }
-    rig.pass(10);
+    rig.advance(10);
     for (call, _) in rig.renewals() {
         rig.listing(call, &[], &[]);
     }
--- a/crates/dispatcher-core/tests/store_updates.rs
+++ b/crates/dispatcher-core/tests/store_updates.rs
@@ -34,7 +34,7 @@
 fn host_with_updates() -> Rig {
     let mut rig = Rig::new();
     // Right after its start, a host doesn't treat missing entries as removed.
-    rig.pass(2_000);
+    rig.advance(2_000);
     rig.event(Event::HostsRead(two_halls()));
     rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
     store_answered(&mut rig, 10);
@@ -45,7 +45,7 @@
 /// Advances the time while all peers answer heartbeats.
 fn pass_with_heartbeats(rig: &mut Rig, ms: Millis) {
     for _ in 0..ms / 20 {
-        rig.pass(20);
+        rig.advance(20);
         rig.answer_heartbeats(0);
     }
 }
@@ -85,12 +85,12 @@
 }
 
 /// Replies with an update and no draining hall.
-fn reply_with_update(rig: &mut Rig, call: CallId, news: StoreUpdate) {
+fn reply_with_update(rig: &mut Rig, call: CallId, update: StoreUpdate) {
     let draining = Some(DrainingUpdate {
-        version: news.configuration_version,
+        version: update.configuration_version,
         halls: Vec::new(),
     });
-    reply_with_platform_update(rig, call, news, draining);
+    reply_with_platform_update(rig, call, update, draining);
 }
 
 fn reply_with_platform_update(
@@ -99,18 +99,18 @@
     store: StoreUpdate,
     draining: Option<DrainingUpdate>,
 ) {
-    let news = PlatformUpdate { store, draining };
-    let reply = Ok(rig.reply(ReplyBody::PlatformUpdates(Some(news)), 0));
+    let update = PlatformUpdate { store, draining };
+    let reply = Ok(rig.reply(ReplyBody::PlatformUpdates(Some(update)), 0));
     rig.event(Event::PeerReply { call, reply });
 }
 
 /// Advances the time until the host requests an update, replies to it and returns the peer's name.
-fn reply_to_next_request(rig: &mut Rig, news: StoreUpdate) -> String {
+fn reply_to_next_request(rig: &mut Rig, update: StoreUpdate) -> String {
     for _ in 0..100 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(0);
         if let Some((call, name, _)) = update_requests(rig).pop() {
-            reply_with_update(rig, call, news);
+            reply_with_update(rig, call, update);
             return name;
         }
     }
@@ -179,7 +179,7 @@
     assert_eq!(known_targets(&rig), 3);
     let gone = TargetListUpdate::Changes(vec![TargetChange::Removed("b".into())]);
     reply_to_next_request(&mut rig, update(12, 0, gone));
-    rig.pass(100);
+    rig.advance(100);
     assert_eq!(known_targets(&rig), 2);
 });
 
@@ -187,7 +187,7 @@
     let mut rig = host_with_updates();
     reply_to_next_request(&mut rig, update(12, 0, whole(&["a", "b"])));
     reply_to_next_request(&mut rig, update(11, 0, whole(&["a"])));
-    rig.pass(100);
+    rig.advance(100);
     assert_eq!(known_targets(&rig), 2);
     assert_eq!(rig.host.store_version(StoreTable::Targets), 12);
 });
@@ -253,19 +253,19 @@
     store_answered(&mut rig, 11);
     rig.now += 40;
     for (request, after) in [(1, 10), (2, 11), (3, 0)] {
-        rig.peer_asks(request, Request::StoreUpdates { after });
+        rig.send_peer_request(request, Request::StoreUpdates { after });
     }
     let updates: Vec<StoreUpdate> = rig
         .replies
         .iter()
         .map(|(_, reply)| match &reply.body {
-            ReplyBody::StoreUpdates(Some(news)) => news.clone(),
+            ReplyBody::StoreUpdates(Some(update)) => update.clone(),
             other => panic!("no update: {other:?}"),
         })
         .collect();
     let lengths: Vec<usize> = updates
         .iter()
-        .map(|news| match &news.list {
+        .map(|update| match &update.list {
             TargetListUpdate::Whole(entries) => 100 + entries.len(),
             TargetListUpdate::Changes(changes) => changes.len(),
             TargetListUpdate::WholeWithUnusable(list) => {
@@ -274,13 +274,13 @@
         })
         .collect();
     assert_eq!(lengths, [1, 0, 103]);
-    assert!(updates.iter().all(|news| news.targets_version == 11));
-    assert!(updates.iter().all(|news| news.age_ms == 40));
+    assert!(updates.iter().all(|update| update.targets_version == 11));
+    assert!(updates.iter().all(|update| update.age_ms == 40));
 });
 
 case!(a_host_without_known_tables_sends_no_update, {
     let mut rig = Rig::new();
-    rig.peer_asks(1, Request::StoreUpdates { after: 0 });
+    rig.send_peer_request(1, Request::StoreUpdates { after: 0 });
     let body = &rig.replies[0].1.body;
     assert!(matches!(body, ReplyBody::StoreUpdates(None)), "{body:?}");
 });
@@ -304,11 +304,11 @@
     rig.event(Event::TargetsRead(vec![target("a", 16)].into()));
     store_answered(&mut rig, 10);
     // A host that knows version 9 may know targets that were removed since.
-    rig.peer_asks(1, Request::StoreUpdates { after: 9 });
-    let ReplyBody::StoreUpdates(Some(news)) = &rig.replies[0].1.body else {
+    rig.send_peer_request(1, Request::StoreUpdates { after: 9 });
+    let ReplyBody::StoreUpdates(Some(update)) = &rig.replies[0].1.body else {
         panic!("no update");
     };
-    assert!(matches!(&news.list, TargetListUpdate::Whole(entries) if entries.len() == 1));
+    assert!(matches!(&update.list, TargetListUpdate::Whole(entries) if entries.len() == 1));
 });
 
 case!(
@@ -320,13 +320,13 @@
         let mut unsettled = update(11, 0, gone);
         unsettled.settled = false;
         reply_to_next_request(&mut rig, unsettled);
-        rig.pass(100);
+        rig.advance(100);
         assert_eq!(known_targets(&rig), 1, "the entry may reappear");
         reply_to_next_request(
             &mut rig,
             update(12, 0, TargetListUpdate::Changes(Vec::new())),
         );
-        rig.pass(100);
+        rig.advance(100);
         assert_eq!(known_targets(&rig), 0);
     }
 );
@@ -334,7 +334,7 @@
 /// Returns a host of the north hall after an update at version 11 with the given draining halls.
 fn host_with_draining_update(draining: Option<DrainingUpdate>) -> Rig {
     let mut rig = host_with_updates();
-    rig.pass(400);
+    rig.advance(400);
     let (call, _, _) = update_requests(&mut rig)
         .pop()
         .expect("an update is requested");
@@ -355,7 +355,7 @@
     let mut rig = host_with_draining_update(Some(south.clone()));
     assert_eq!(halls_draining(&rig), 1);
     assert_eq!(rig.host.store_version(StoreTable::Configuration), 11);
-    rig.peer_asks(1, Request::PlatformUpdates { after: 11 });
+    rig.send_peer_request(1, Request::PlatformUpdates { after: 11 });
     let ReplyBody::PlatformUpdates(Some(reply)) = &rig.replies[0].1.body else {
         panic!("no update");
     };
@@ -403,7 +403,7 @@
             version: 11,
             halls: vec!["south".into()],
         }));
-        rig.peer_asks(1, Request::StoreUpdates { after: 11 });
+        rig.send_peer_request(1, Request::StoreUpdates { after: 11 });
         let body = &rig.replies[0].1.body;
         assert!(matches!(body, ReplyBody::StoreUpdates(Some(_))), "{body:?}");
     }
@@ -413,7 +413,7 @@
     let mut rig = host_with_updates();
     let mut asked = Vec::new();
     for _ in 0..200 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(0);
         for (call, name, _) in update_requests(&mut rig) {
             asked.push(name);
@@ -444,7 +444,7 @@
         });
         // Otherwise the change at version 12, that the target is leaving, would be lost.
         assert_eq!(rig.host.store_version(StoreTable::Targets), 11);
-        rig.pass(400);
+        rig.advance(400);
         let (_, _, after) = update_requests(&mut rig)
             .pop()
             .expect("an update is requested");
--- a/crates/dispatcher-core/tests/support/holders.rs
+++ b/crates/dispatcher-core/tests/support/holders.rs
@@ -174,9 +174,9 @@
 fn view(task: &Task, at: usize, report: &LoadReport, now: Millis) -> HolderView {
     /// A holder whose last report is older than this counts as silent, in ms.
     const SILENT_MS: Millis = 2_500;
-    let news_age_ms = now - report.received_at;
+    let update_age_ms = now - report.received_at;
     // Tasks that were handed over long ago are done by now.
-    let handed_over = report.handed_over * RUNNING_MS / news_age_ms.max(RUNNING_MS);
+    let handed_over = report.handed_over * RUNNING_MS / update_age_ms.max(RUNNING_MS);
     let (slots, free_slots) = (
         SLOTS[at % HOSTS_PER_HALL],
         report.free_slots - handed_over as i64,
@@ -184,7 +184,7 @@
     let expected_ms = ((1 - free_slots) * RUNNING_MS as i64 / slots) as Millis;
     let spare_cpu = if free_slots > 0 { free_slots } else { slots } as u32;
     let place = match free_slots {
-        _ if news_age_ms > SILENT_MS => Availability::None,
+        _ if update_age_ms > SILENT_MS => Availability::None,
         1.. => Availability::Free { spare_cpu },
         _ => Availability::Wait {
             spare_cpu,
@@ -209,6 +209,6 @@
         stale_clock: false,
         near,
         far,
-        update_age_ms: news_age_ms,
+        update_age_ms,
     }
 }
--- a/crates/dispatcher-core/tests/support/mod.rs
+++ b/crates/dispatcher-core/tests/support/mod.rs
@@ -173,7 +173,7 @@
     pub fn holding_targets_with(settings: Settings, targets: &[TargetEntry]) -> Self {
         let mut rig = Self::with(settings);
         rig.event(Event::TargetsRead(targets.to_vec().into()));
-        rig.pass(1_000);
+        rig.advance(1_000);
         for called in std::mem::take(&mut rig.calls) {
             assert!(matches!(called.order, TargetCall::Renew { .. }));
             rig.listing(called.call, &[], &[]);
@@ -214,7 +214,7 @@
     }
 
     /// Advances the time in steps of at most 10 ms, with a tick after each.
-    pub fn pass(&mut self, ms: Millis) {
+    pub fn advance(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.now = (self.now + 10).min(end);
@@ -318,7 +318,7 @@
     /// Advances the time until any lease that another host may have had on the targets has
     /// expired; the targets report that nothing runs.
     pub fn pass_earlier_leases(&mut self) {
-        self.pass(500);
+        self.advance(500);
         self.idle_targets_answer();
     }
 
@@ -381,12 +381,12 @@
     }
 
     /// Delivers a request from the peer.
-    pub fn peer_asks(&mut self, request_id: u64, request: Request) {
-        self.peer_asks_as(request_id, peer_info().incarnation, 1, request);
+    pub fn send_peer_request(&mut self, request_id: u64, request: Request) {
+        self.send_peer_request_as(request_id, peer_info().incarnation, 1, request);
     }
 
     /// Delivers a request from one incarnation and session of the peer.
-    pub fn peer_asks_as(
+    pub fn send_peer_request_as(
         &mut self,
         request_id: u64,
         incarnation: u64,
--- a/crates/dispatcher-core/tests/support/slot_pool.rs
+++ b/crates/dispatcher-core/tests/support/slot_pool.rs
@@ -153,7 +153,7 @@
     }
 
     /// Returns whether a host that knows the holder's load accepts the job.
-    fn is_accepted(&self, has_room: bool, load: &PoolLoad) -> bool {
+    fn is_accepted(&self, has_free_target: bool, load: &PoolLoad) -> bool {
         let listed_cpu = u64::from(load.capacity_cpu);
         let pool = KnownPoolLoad::new([(load, 0)].into_iter(), listed_cpu, 0);
         let job = ArrivingJob {
@@ -163,7 +163,7 @@
             chain_ms: self.load.task_ms,
             objective_ms: self.load.objective_ms(),
             deadline_ms: Millis::MAX,
-            has_free_target: has_room,
+            has_free_target,
         };
         decide(&pool, &job).retry_after_ms.is_none()
     }
--- a/crates/dispatcher-core/tests/suspended.rs
+++ b/crates/dispatcher-core/tests/suspended.rs
@@ -50,7 +50,7 @@
     fn attempts_after_suspension(mut self) -> usize {
         let start = self.rig.now;
         let first = order("00000000000000aa.0.0.0", 900);
-        self.rig.peer_asks(1, Request::Place(vec![first]));
+        self.rig.send_peer_request(1, Request::Place(vec![first]));
         let envelope = queued_place(start);
         self.since_boot.fetch_add(GAP_MS + 10, Ordering::Relaxed);
         self.steady.fetch_add(10, Ordering::Relaxed);
@@ -87,7 +87,7 @@
     rig.event(Event::HostsRead(vec![peer_info()]));
     rig.event(Event::TargetsRead(vec![target("far", 16)].into()));
     for _ in 0..100 {
-        rig.pass(10);
+        rig.advance(10);
         rig.answer_heartbeats(16_000);
     }
     rig
@@ -133,7 +133,7 @@
     let (call, _, id) = rig.starts().remove(0);
     let clock = rig.now + CLOCK_OFFSET_MS;
     rig.target_reply(call, TargetReply::Accepted { clock });
-    rig.pass(10);
+    rig.advance(10);
     let (call, _) = rig.renewals().remove(0);
     let reply = TargetReply::Listing {
         clock: rig.now + CLOCK_OFFSET_MS,
@@ -152,7 +152,7 @@
 case!(a_peers_queued_request_renews_no_lease, {
     let mut rig = Rig::holding_targets(&[target("near", 16)]);
     let first = order("00000000000000aa.0.0.0", 900);
-    rig.peer_asks(1, Request::Place(vec![first.clone()]));
+    rig.send_peer_request(1, Request::Place(vec![first.clone()]));
     let (call, _, _) = rig.starts().remove(0);
     let clock = rig.now + CLOCK_OFFSET_MS;
     rig.target_reply(call, TargetReply::Accepted { clock });
@@ -172,7 +172,7 @@
     a_reply_from_before_the_suspension_does_not_show_a_peer_reachable,
     {
         let mut rig = host_with_peer();
-        rig.pass(200);
+        rig.advance(200);
         let heartbeats = rig.requests(is_heartbeat);
         let body = ReplyBody::Heartbeat(HeartbeatReply {
             leaving: false,
@@ -246,7 +246,7 @@
             let (call, _, id) = rig.starts().remove(0);
             let clock = rig.now + CLOCK_OFFSET_MS;
             rig.target_reply(call, TargetReply::Accepted { clock });
-            rig.pass(10);
+            rig.advance(10);
             for (call, _) in rig.renewals() {
                 rig.listing(call, &[], &[ended(number + 1, &id, ListedOutcome::Done)]);
             }
--- a/crates/dispatcher-core/tests/target_leases.rs
+++ b/crates/dispatcher-core/tests/target_leases.rs
@@ -20,7 +20,7 @@
 case!(a_new_holder_starts_nothing_beside_unknown_attempts, {
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(vec![target("near", 16)].into()));
-    rig.pass(1_000);
+    rig.advance(1_000);
     let (call, until) = rig.renewals().remove(0);
     assert_eq!(until, None, "the owners of the attempts there are unknown");
     let unknown = gannetridge_dispatcher_core::message::AttemptId {
@@ -30,7 +30,7 @@
     rig.listing(call, std::slice::from_ref(&unknown), &[]);
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
     assert!(rig.starts().is_empty());
-    rig.pass(50);
+    rig.advance(50);
     let (call, until) = rig.renewals().remove(0);
     assert_eq!(until, None);
     rig.listing(call, &[], &[ended(1, &unknown, ListedOutcome::Interrupted)]);
@@ -55,7 +55,7 @@
     a_target_taken_back_is_not_renewed_before_it_lists_its_attempts,
     {
         let mut rig = Rig::holding_targets(&[target("near", 16)]);
-        rig.pass(3_100);
+        rig.advance(3_100);
         for (call, _) in rig.renewals() {
             rig.listing(call, &[], &[]);
         }
@@ -88,7 +88,7 @@
         rig.submit(1, ID, vec![step(1, 7_000, 600)], 4_000);
         rig.idle_targets_answer();
         let (call, first, id) = rig.starts().remove(0);
-        rig.pass(200);
+        rig.advance(200);
         rig.event(Event::TargetReply {
             call,
             reply: Err(SendFailure::Unknown),
@@ -98,11 +98,11 @@
             "the start may have been carried out"
         );
         assert_eq!(rig.stops(), vec![id]);
-        rig.pass(800);
+        rig.advance(800);
         for (call, _) in rig.renewals() {
             rig.listing(call, &[], &[]);
         }
-        rig.pass(20);
+        rig.advance(20);
         rig.idle_targets_answer();
         let starts = rig.starts();
         assert!(starts
@@ -118,7 +118,7 @@
     leaving.leaving = true;
     rig.event(Event::TargetsChanged(vec![TargetChange::Listed(leaving)]));
     rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
-    rig.pass(200);
+    rig.advance(200);
     assert!(rig.starts().is_empty());
 });
 
@@ -161,13 +161,13 @@
     {
         let mut rig = Rig::holding_targets(&[target("near", 16)]);
         rig.event(Event::StoreReachable(false));
-        rig.pass(1_000);
+        rig.advance(1_000);
         rig.event(Event::StoreReachable(true));
         rig.event(Event::TargetsRead(Vec::new().into()));
         rig.submit(1, ID, vec![step(1, 7_000, 60)], 3_000);
         rig.idle_targets_answer();
         assert_eq!(rig.starts().len(), 1);
-        rig.pass(2_100);
+        rig.advance(2_100);
         rig.submit(2, "00000000000000bb", vec![step(1, 7_000, 60)], 3_000);
         rig.idle_targets_answer();
         assert!(
@@ -181,7 +181,7 @@
     let mut rig = Rig::holding_targets(&[target("near", 24)]);
     submit_and_accept(&mut rig, ID);
     let (call, _) = rig.renewals().remove(0);
-    rig.pass(250);
+    rig.advance(250);
     rig.event(Event::TargetReply {
         call,
         reply: Err(SendFailure::Unknown),
@@ -211,7 +211,7 @@
     let silent_since = rig.now;
     let mut restarted = None;
     while restarted.is_none() && rig.now < silent_since + 3_000 {
-        rig.pass(50);
+        rig.advance(50);
         // Twice: a start waits for a reply of the idle target.
         for _ in 0..2 {
             for called in std::mem::take(&mut rig.calls) {
@@ -256,7 +256,7 @@
     assert_eq!(count_starts(&mut rig, 1), 0);
     let back = TargetChange::Listed(target("near", 16));
     rig.event(Event::TargetsChanged(vec![back]));
-    rig.pass(600);
+    rig.advance(600);
     for (call, _) in rig.renewals() {
         rig.listing(call, &[], &[]);
     }
@@ -268,13 +268,13 @@
     {
         let mut rig = Rig::holding_targets(&[target("near", 16)]);
         rig.event(Event::StoreReachable(false));
-        rig.pass(1_000);
+        rig.advance(1_000);
         rig.event(Event::StoreReachable(true));
         rig.event(Event::TargetsRead(Vec::new().into()));
-        rig.pass(1_900);
+        rig.advance(1_900);
         let back = TargetChange::Listed(target("near", 16));
         rig.event(Event::TargetsChanged(vec![back]));
-        rig.pass(500);
+        rig.advance(500);
         assert_eq!(count_starts(&mut rig, 1), 1);
     }
 );
@@ -285,7 +285,7 @@
     leaving.leaving = true;
     rig.event(Event::TargetsChanged(vec![TargetChange::Listed(leaving)]));
     for number in 1..=10 {
-        rig.pass(1_000);
+        rig.advance(1_000);
         for (call, _) in rig.renewals() {
             rig.listing(call, &[], &[]);
         }
@@ -308,7 +308,7 @@
         };
         rig.target_reply(call, reply);
     }
-    rig.pass(10);
+    rig.advance(10);
 }
 
 /// Returns a host with two targets, an attempt that runs on one of them, and the target's clock at
@@ -319,7 +319,7 @@
     let (call, _, id) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
     rig.target_reply(call, TargetReply::Accepted { clock });
-    rig.pass(10);
+    rig.advance(10);
     (rig, id, clock)
 }
 
@@ -343,24 +343,24 @@
     let (mut rig, id, clock) = running_task(200);
     report_progress(&mut rig, &id, 10, clock + 20);
     // A listing made 30 ms later arrives late.
-    rig.pass(300);
+    rig.advance(300);
     report_progress(&mut rig, &id, 10, clock + 50);
     assert!(rig.stops().is_empty());
 });
 
 case!(an_attempt_without_progress_reports_is_not_stopped, {
     let (mut rig, id, _) = running_task(200);
-    rig.pass(200);
+    rig.advance(200);
     for (call, _) in rig.renewals() {
         rig.listing(call, std::slice::from_ref(&id), &[]);
     }
-    rig.pass(10);
+    rig.advance(10);
     assert!(rig.stops().is_empty());
 });
 
 /// Starts an attempt on behalf of the peer; returns it.
 fn start_for_peer(rig: &mut Rig, task: &str) -> AttemptId {
-    rig.peer_asks(90, Request::Place(vec![order(task, 900)]));
+    rig.send_peer_request(90, Request::Place(vec![order(task, 900)]));
     let (call, _, id) = rig.starts().remove(0);
     let clock = rig.now + 500_000;
     rig.target_reply(call, TargetReply::Accepted { clock });
@@ -373,7 +373,7 @@
     let mut latest = None;
     let end = rig.now + ms;
     while rig.now < end {
-        rig.pass(10);
+        rig.advance(10);
         for (call, until) in rig.renewals() {
             latest = latest.max(until.map(|clock| clock - 500_000));
             rig.listing(call, running, &[]);
--- a/crates/dispatcher-core/tests/target_restarts.rs
+++ b/crates/dispatcher-core/tests/target_restarts.rs
@@ -54,7 +54,7 @@
 fn holder_with_running_attempt() -> (Rig, AttemptId) {
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(vec![target("near", 16)].into()));
-    rig.pass(1_000);
+    rig.advance(1_000);
     let clock = rig.now + CLOCK_OFFSET_MS;
     let (call, _) = take_renewal(&mut rig);
     rig.target_reply(call, listing(clock, Some(FIRST_INCARNATION), &[], &[]));
@@ -64,7 +64,7 @@
     for (call, _, _) in starts {
         rig.target_reply(call, TargetReply::Accepted { clock });
     }
-    rig.pass(10);
+    rig.advance(10);
     let (call, _) = take_renewal(&mut rig);
     let end = [ended(57, &first, ListedOutcome::Done)];
     let running = [second.clone()];
@@ -110,7 +110,7 @@
     rig.submit(2, "0000000000000002", vec![step(1, 7_000, 400)], 1_500);
     let (call, _, next) = rig.starts().pop().expect("a start in the new incarnation");
     rig.target_reply(call, TargetReply::Accepted { clock });
-    rig.pass(10);
+    rig.advance(10);
     let (call, acknowledged) = take_renewal(&mut rig);
     assert_eq!(acknowledged, 0);
     let end = [ended(1, &next, ListedOutcome::Done)];
@@ -145,7 +145,7 @@
         call,
         listing(RESTARTED_CLOCK + 5, Some(NEXT_INCARNATION), &[], &[]),
     );
-    rig.pass(10);
+    rig.advance(10);
     for called in rig.calls {
         if let TargetCall::Start(start) = called.order {
             assert!(start.until < CLOCK_OFFSET_MS, "{start:?}");
@@ -183,7 +183,7 @@
     let running = [lost];
     let clock = rig.now + CLOCK_OFFSET_MS;
     rig.target_reply(call, listing(clock, Some(FIRST_INCARNATION), &running, &[]));
-    rig.pass(10);
+    rig.advance(10);
     assert_eq!(take_renewal(&mut rig).1, 57, "the incarnation is the same");
 });
 
@@ -193,7 +193,7 @@
     let clock = rig.now + CLOCK_OFFSET_MS;
     let running = [lost];
     rig.target_reply(call, listing(clock, None, &running, &[]));
-    rig.pass(10);
+    rig.advance(10);
     assert_eq!(take_renewal(&mut rig).1, 57);
     assert_eq!(rig.starts(), []);
 });
--- a/crates/dispatcher-core/tests/unusable_entries.rs
+++ b/crates/dispatcher-core/tests/unusable_entries.rs
@@ -51,7 +51,7 @@
         },
     );
     rig.event(becomes_unusable("near"));
-    rig.pass(50);
+    rig.advance(50);
     assert_eq!(rig.stops(), [], "nothing is stopped");
     let (renewal, _) = rig.renewals().pop().expect("its lease is renewed");
     rig.listing(renewal, &[], &[ended(1, &id, ListedOutcome::Done)]);
@@ -61,7 +61,7 @@
 case!(an_unusable_entry_of_an_unknown_target_is_ignored, {
     let mut rig = Rig::new();
     rig.event(becomes_unusable("far-away"));
-    rig.pass(1_000);
+    rig.advance(1_000);
     assert!(rig.calls.is_empty(), "{:?}", rig.calls);
     assert_eq!(rig.host.counts(rig.now).targets_known, 0);
 });
@@ -95,7 +95,7 @@
         rig.event(Event::TargetsRead(
             vec![stranger, target("near", 16)].into(),
         ));
-        rig.pass(1_000);
+        rig.advance(1_000);
         let called: Vec<&str> = rig.calls.iter().map(|called| &*called.target).collect();
         assert!(called.iter().all(|target| *target == "near"), "{called:?}");
         assert!(!called.is_empty());
@@ -106,22 +106,22 @@
     let mut rig = Rig::new();
     rig.event(Event::TargetsRead(vec![target("near", 16)].into()));
     rig.event(becomes_unusable("near"));
-    rig.pass(1_000);
+    rig.advance(1_000);
     let renews = |called: &support::Called| matches!(called.order, TargetCall::Renew { .. });
     assert!(!rig.calls.iter().any(renews), "{:?}", rig.calls);
     rig.event(becomes_usable("near"));
-    rig.pass(100);
+    rig.advance(100);
     assert!(rig.calls.iter().any(renews));
 });
 
 /// Requests the platform's state and returns the list in the reply.
 fn reported_list(rig: &mut Rig, after: u64) -> TargetListUpdate {
-    rig.peer_asks(9, Request::PlatformUpdates { after });
+    rig.send_peer_request(9, Request::PlatformUpdates { after });
     let (_, reply) = rig.replies.pop().expect("a reply");
-    let ReplyBody::PlatformUpdates(Some(news)) = reply.body else {
+    let ReplyBody::PlatformUpdates(Some(update)) = reply.body else {
         panic!("no list: {:?}", reply.body);
     };
-    news.store.list
+    update.store.list
 }
 
 fn store_answers(rig: &mut Rig, version: u64) {
--- a/crates/dispatcher-core/tests/waiting_order.rs
+++ b/crates/dispatcher-core/tests/waiting_order.rs
@@ -51,7 +51,7 @@
     load("long", 2, 4, 900, part)
 }
 
-fn ways(order: Order) -> Policy {
+fn policy(order: Order) -> Policy {
     Policy {
         order,
         shares: Shares::default(),
@@ -70,24 +70,24 @@
     Policy {
         starts_whole_jobs: false,
         bounds_long_tasks: false,
-        ..ways(order)
+        ..policy(order)
     }
 }
 
-fn plays(loads: &[Load], ways: &Policy) -> impl Iterator<Item = Outcome> {
-    let (loads, ways) = (loads.to_vec(), ways.clone());
-    (0..SEEDS).map(move |seed| simulate(seed, SLOTS, MS, &loads, ways.clone()))
+fn simulate_seeds(loads: &[Load], policy: &Policy) -> impl Iterator<Item = Outcome> {
+    let (loads, policy) = (loads.to_vec(), policy.clone());
+    (0..SEEDS).map(move |seed| simulate(seed, SLOTS, MS, &loads, policy.clone()))
 }
 
 /// Returns the share of a queue's jobs that are on time, as the mean of all seeds.
-fn on_time(queue: &str, loads: &[Load], ways: &Policy) -> f64 {
-    let parts = plays(loads, ways).map(|outcome| outcome.on_time(queue));
+fn on_time(queue: &str, loads: &[Load], policy: &Policy) -> f64 {
+    let parts = simulate_seeds(loads, policy).map(|outcome| outcome.on_time(queue));
     parts.sum::<f64>() / SEEDS as f64
 }
 
 /// Returns the mean number of slots that a queue got, from one hall or all, over all seeds.
-fn slots(queue: &str, hall: Option<&str>, loads: &[Load], ways: &Policy) -> f64 {
-    let got = plays(loads, ways).map(|outcome| outcome.totals(queue, hall).slot_ms);
+fn slots(queue: &str, hall: Option<&str>, loads: &[Load], policy: &Policy) -> f64 {
+    let got = simulate_seeds(loads, policy).map(|outcome| outcome.totals(queue, hall).slot_ms);
     got.sum::<f64>() / (SEEDS * MS) as f64
 }
 
@@ -95,21 +95,21 @@
     let burst = long(0.8).during(2_000..MS);
     let loads = [quick(0.14), middle(0.34), long(0.19), burst];
     assert!(on_time("quick", &loads, &by_class()) < 0.8);
-    assert!(on_time("quick", &loads, &ways(compare)) >= SERVED);
+    assert!(on_time("quick", &loads, &policy(compare)) >= SERVED);
 });
 
 case!(long_jobs_get_the_unused_capacity_in_their_burst, {
     let loads = [quick(0.14), middle(0.14), long(1.0)];
     // Capacity reserved for others beyond their average is idle at times.
     let left = 0.72 - 0.1;
-    let got = slots("long", None, &loads, &ways(compare));
+    let got = slots("long", None, &loads, &policy(compare));
     assert!(got >= left * f64::from(SLOTS), "{got}");
 });
 
 case!(an_urgent_burst_is_served_while_long_tasks_run, {
     let burst = quick(0.3).during(5_000..7_000);
     let loads = [quick(0.14), burst, long(0.8)];
-    let gained = on_time("quick", &loads, &ways(compare)) - on_time("quick", &loads, &by_class());
+    let gained = on_time("quick", &loads, &policy(compare)) - on_time("quick", &loads, &by_class());
     assert!(gained > 0.1, "{gained}");
 });
 
@@ -120,8 +120,8 @@
         urgency.then(compare(a, b, shares))
     };
     let gained = |queue| {
-        let strict = on_time(queue, &loads, &ways(urgent_first));
-        on_time(queue, &loads, &ways(compare)) - strict
+        let strict = on_time(queue, &loads, &policy(urgent_first));
+        on_time(queue, &loads, &policy(compare)) - strict
     };
     assert!(gained("middle") > 0.0, "{}", gained("middle"));
     assert!(gained("quick") > -0.01, "{}", gained("quick"));
@@ -131,26 +131,26 @@
     let loads = [middle(2.0), long(0.3)];
     let refusing = Policy {
         refuses_on_arrival: true,
-        ..ways(compare)
+        ..policy(compare)
     };
-    let in_vain_ms = |ways| {
-        let outcomes = plays(&loads, ways).map(|outcome| outcome.totals("middle", None));
+    let mean_refused_wait_ms = |policy| {
+        let outcomes = simulate_seeds(&loads, policy).map(|outcome| outcome.totals("middle", None));
         let sums = outcomes.fold((0.0, 0.0), |(waited, jobs), got| {
             (waited + got.refused_wait_ms, jobs + got.jobs)
         });
         sums.0 / sums.1
     };
-    let waiting = ways(compare);
-    assert!(in_vain_ms(&refusing) < in_vain_ms(&waiting) / 2.0);
-    let on_time = |ways| on_time("middle", &loads, ways);
+    let waiting = policy(compare);
+    assert!(mean_refused_wait_ms(&refusing) < mean_refused_wait_ms(&waiting) / 2.0);
+    let on_time = |policy| on_time("middle", &loads, policy);
     assert!(on_time(&refusing) > on_time(&waiting) - 0.01);
-    let slots = |ways| slots("long", None, &loads, ways);
+    let slots = |policy| slots("long", None, &loads, policy);
     assert!(slots(&refusing) > slots(&waiting) - 0.01 * f64::from(SLOTS));
 });
 
 case!(the_least_urgent_are_not_starved, {
     let loads = [quick(1.5), long(0.3)];
-    let got = slots("long", None, &loads, &ways(compare));
+    let got = slots("long", None, &loads, &policy(compare));
     assert!(got >= MIN_SHARE * f64::from(SLOTS), "{got}");
 });
 
@@ -158,9 +158,9 @@
     let loads = [quick(1.5), middle(0.34), long(0.19)];
     let alone = Policy {
         starts_whole_jobs: false,
-        ..ways(compare)
+        ..policy(compare)
     };
-    let gained = on_time("quick", &loads, &ways(compare)) - on_time("quick", &loads, &alone);
+    let gained = on_time("quick", &loads, &policy(compare)) - on_time("quick", &loads, &alone);
     assert!(gained > 0.1, "{gained}");
 });
 
@@ -171,7 +171,7 @@
     let loads = [from("north", 0.5), from("south", 0.5), from("west", 1.0)];
     let fair_share = f64::from(SLOTS) / 3.0;
     ["north", "south", "west"].into_iter().all(|hall| {
-        let got = slots("middle", Some(hall), &loads, &ways(order));
+        let got = slots("middle", Some(hall), &loads, &policy(order));
         (got - fair_share).abs() < 0.1 * fair_share
     })
 }
@@ -195,20 +195,20 @@
         ..middle(3.0)
     };
     let loads = [middle(0.3), flood];
-    assert!(on_time("middle", &loads, &ways(compare)) >= SERVED);
+    assert!(on_time("middle", &loads, &policy(compare)) >= SERVED);
     let left = 0.7 * f64::from(SLOTS);
-    assert!(slots("flood", None, &loads, &ways(compare)) > 0.95 * left);
+    assert!(slots("flood", None, &loads, &policy(compare)) > 0.95 * left);
 });
 
 case!(no_slot_is_idle_while_a_task_waits_without_reservations, {
     let loads = [quick(0.3), middle(0.4), long(0.5)];
     let unbounded = Policy {
         bounds_long_tasks: false,
-        ..ways(compare)
+        ..policy(compare)
     };
-    assert!(plays(&loads, &unbounded).all(|outcome| outcome.idle_slot_ms == 0.0));
+    assert!(simulate_seeds(&loads, &unbounded).all(|outcome| outcome.idle_slot_ms == 0.0));
     let alone = [middle(1.2)];
-    assert!(plays(&alone, &ways(compare)).all(|outcome| outcome.idle_slot_ms == 0.0));
+    assert!(simulate_seeds(&alone, &policy(compare)).all(|outcome| outcome.idle_slot_ms == 0.0));
 });
 
 const fn task(urgency: u8, estimate_ms: Millis) -> TaskSize {
