--- a/crates/dispatcher-core/src/decision/mod.rs
+++ b/crates/dispatcher-core/src/decision/mod.rs
@@ -80,7 +80,7 @@
         /// Its latency objective, in ms from its acceptance.
         objective_ms: Millis,
     },
-    /// Tasks were handed to a peer.
+    /// Tasks were handed over to a peer.
     TasksHandedOver {
         /// The peer's name.
         peer: Name,
--- a/crates/dispatcher-core/src/dispatcher/hand_over.rs
+++ b/crates/dispatcher-core/src/dispatcher/hand_over.rs
@@ -210,7 +210,7 @@
 
     /// Handles the reply of a holder to tasks that were handed over. The holder reports tasks that
     /// it queued when they end, or returns them.
-    pub(super) fn hand_over_replied(
+    pub(super) fn handle_hand_over_reply(
         &mut self,
         now: Millis,
         name: &Name,
--- a/crates/dispatcher-core/src/dispatcher/load.rs
+++ b/crates/dispatcher-core/src/dispatcher/load.rs
@@ -138,7 +138,7 @@
     pub(super) fn record_peer_load(&mut self, now: Millis, name: &Name, load: HolderLoad) {
         let reported = load.free_capacity.into_iter();
         let known = reported
-            .filter_map(|free_capacity| self.known_free_capacity(free_capacity))
+            .filter_map(|free_capacity| self.known_free_target(free_capacity))
             .collect();
         if let Some(peer) = self.peers.get_mut(name) {
             peer.set_load(now, known, load.pools);
@@ -147,7 +147,7 @@
 
     /// Returns the free capacity of a peer's target with its entry; `None` if the target isn't
     /// known to this host.
-    fn known_free_capacity(&self, free_capacity: TargetFreeCapacity) -> Option<KnownFreeTarget> {
+    fn known_free_target(&self, free_capacity: TargetFreeCapacity) -> Option<KnownFreeTarget> {
         let entry = self.targets.entry(&free_capacity.target)?.clone();
         Some(KnownFreeTarget {
             entry,
--- a/crates/dispatcher-core/src/dispatcher/mod.rs
+++ b/crates/dispatcher-core/src/dispatcher/mod.rs
@@ -224,9 +224,9 @@
             Event::Peer {
                 request_id,
                 envelope,
-            } => self.peer_request_received(now, request_id, *envelope),
+            } => self.handle_peer_request(now, request_id, *envelope),
             Event::PeerReply { call, reply } => {
-                self.peer_replied(now, call, reply.map(|reply| *reply));
+                self.handle_peer_reply(now, call, reply.map(|reply| *reply));
             }
             Event::TargetReply { call, reply } => self.targets.handle_reply(now, call, reply),
             Event::TargetsChanged(changes) => {
--- a/crates/dispatcher-core/src/dispatcher/owner_leases.rs
+++ b/crates/dispatcher-core/src/dispatcher/owner_leases.rs
@@ -61,17 +61,17 @@
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
-        let mut over = clock_received_at + self.times.lost_attempts_over_ms;
+        let mut ended_at = clock_received_at + self.times.lost_attempts_over_ms;
         if !self.settings.safeguards.lost_attempts_are_waited_for {
-            over = now;
+            ended_at = now;
         }
         peer.start_session();
-        let attempts = self.jobs.mark_peer_lost(name, over);
+        let attempts = self.jobs.mark_peer_lost(name, ended_at);
         if attempts > 0 {
             self.record(Decision::SessionLost {
                 peer: name.clone(),
                 attempts,
-                over_in_ms: over.saturating_sub(now),
+                over_in_ms: ended_at.saturating_sub(now),
             });
         }
     }
--- a/crates/dispatcher-core/src/dispatcher/peer_calls.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_calls.rs
@@ -44,7 +44,7 @@
     Configuration,
     StoreUpdates {
         /// When the request was sent.
-        asked: Millis,
+        requested_at: Millis,
     },
 }
 
@@ -59,17 +59,17 @@
 }
 
 /// A call in flight.
-struct OpenCall {
+struct PendingCall {
     callee: Callee,
     sent: Millis,
     /// True if the process was stalled since the call was made: the reply may be outdated.
-    before_stall: bool,
+    sent_before_stall: bool,
 }
 
 /// The calls to peers in flight.
 #[derive(Default)]
 pub(super) struct PeerCalls {
-    open: HashMap<CallId, OpenCall>,
+    open: HashMap<CallId, PendingCall>,
     last_number: u64,
     /// True while a request for a peer's configuration is in flight.
     fetching_configuration: bool,
@@ -79,10 +79,10 @@
     fn open_call(&mut self, sent: Millis, callee: Callee) -> CallId {
         self.last_number += 1;
         let call = CallId(PEER_CALL_BIT | self.last_number);
-        let open = OpenCall {
+        let open = PendingCall {
             callee,
             sent,
-            before_stall: false,
+            sent_before_stall: false,
         };
         self.open.insert(call, open);
         call
@@ -91,7 +91,7 @@
     /// Marks all calls in flight after the process was stalled: their replies may be outdated.
     pub(super) fn mark_stalled(&mut self) {
         for open in self.open.values_mut() {
-            open.before_stall = true;
+            open.sent_before_stall = true;
         }
     }
 }
@@ -169,7 +169,7 @@
         self.call_peer(now, name, request(orders), Purpose::Place(ids));
     }
 
-    pub(super) fn peer_replied(
+    pub(super) fn handle_peer_reply(
         &mut self,
         now: Millis,
         call: CallId,
@@ -179,20 +179,20 @@
             return;
         };
         let load = reply.as_mut().ok().and_then(extract_load);
-        let OpenCall {
+        let PendingCall {
             callee,
             sent,
-            before_stall,
+            sent_before_stall,
         } = open;
         let was_sent = !matches!(reply, Err(SendFailure::Refused | SendFailure::NotSent));
-        if was_sent && !before_stall {
+        if was_sent && !sent_before_stall {
             self.local_delay.observe(now, now.saturating_sub(sent));
             self.targets
                 .set_added_wait(self.local_delay.extra_wait_ms());
         }
         match callee {
-            Callee::Seed => self.seed_replied(now, reply),
-            Callee::Peer { name, purpose } if before_stall => {
+            Callee::Seed => self.handle_seed_reply(now, reply),
+            Callee::Peer { name, purpose } if sent_before_stall => {
                 self.process_stale_reply(now, call, &name, purpose, reply);
             }
             Callee::Peer { name, purpose } => {
@@ -202,7 +202,7 @@
         }
     }
 
-    fn seed_replied(&mut self, now: Millis, reply: Result<Reply, SendFailure>) {
+    fn handle_seed_reply(&mut self, now: Millis, reply: Result<Reply, SendFailure>) {
         if let Some(ReplyBody::Heartbeat(heartbeat)) = body(reply) {
             for host in &heartbeat.hosts {
                 self.peers.learn(now, host);
@@ -284,8 +284,8 @@
                 }
             }
             Purpose::Demand | Purpose::Crashes => {}
-            Purpose::Place(ids) => self.place_replied(now, name, &ids, reply),
-            Purpose::HandOver(ids) => self.hand_over_replied(now, name, &ids, reply),
+            Purpose::Place(ids) => self.handle_place_reply(now, name, &ids, reply),
+            Purpose::HandOver(ids) => self.handle_hand_over_reply(now, name, &ids, reply),
             Purpose::FreeCapacity => self.handle_free_capacity_reply(now, name, reply),
             Purpose::Reservation => {
                 if !matches!(body(reply), Some(ReplyBody::Interested(true))) {
@@ -314,7 +314,9 @@
                     self.use_configuration(configuration, ConfigurationSource::Peer);
                 }
             }
-            Purpose::StoreUpdates { asked } => self.store_updates_replied(now, name, asked, reply),
+            Purpose::StoreUpdates { requested_at } => {
+                self.handle_store_updates_reply(now, name, requested_at, reply)
+            }
         }
     }
 
@@ -325,7 +327,7 @@
         }
     }
 
-    fn place_replied(
+    fn handle_place_reply(
         &mut self,
         now: Millis,
         name: &Name,
--- a/crates/dispatcher-core/src/dispatcher/peer_requests.rs
+++ b/crates/dispatcher-core/src/dispatcher/peer_requests.rs
@@ -21,7 +21,7 @@
 use super::Dispatcher;
 
 impl Dispatcher {
-    pub(super) fn peer_request_received(
+    pub(super) fn handle_peer_request(
         &mut self,
         now: Millis,
         request_id: RequestId,
@@ -95,7 +95,7 @@
     ) -> ReplyBody {
         match request {
             Request::Heartbeat(heartbeat) => {
-                let reply = self.heartbeat_received(now, name, session, &heartbeat);
+                let reply = self.handle_heartbeat(now, name, session, &heartbeat);
                 self.fetch_configuration(now, name);
                 reply
             }
@@ -115,7 +115,7 @@
                 }
                 ReplyBody::Acknowledged
             }
-            Request::Reservation(free) => self.reservation_received(now, name, &free),
+            Request::Reservation(free) => self.handle_reservation(now, name, &free),
             Request::HandOver(tasks) => self.accept_handed_over(now, name, session, tasks),
             Request::FreeCapacity(load) => self.handle_free_capacity_report(now, name, load),
             Request::Stop { mut keys, report } => {
@@ -168,7 +168,7 @@
         self.targets.free_resources(now)
     }
 
-    fn heartbeat_received(
+    fn handle_heartbeat(
         &mut self,
         now: Millis,
         name: &Name,
@@ -235,12 +235,7 @@
 
     /// Handles a peer's reservation of resources: sends it the waiting tasks that fit, in a
     /// separate request, so that none is lost with this reply.
-    fn reservation_received(
-        &mut self,
-        now: Millis,
-        name: &Name,
-        free: &FreeResources,
-    ) -> ReplyBody {
+    fn handle_reservation(&mut self, now: Millis, name: &Name, free: &FreeResources) -> ReplyBody {
         let mut resources = free.resources;
         let mut orders = Vec::new();
         for task in self.jobs.waiting(now, MAX_SCHEDULED) {
--- a/crates/dispatcher-core/src/dispatcher/store.rs
+++ b/crates/dispatcher-core/src/dispatcher/store.rs
@@ -71,10 +71,10 @@
             return;
         }
         let hosts = self.peers.eligible_holders(now, false);
-        let asked = reader_to_ask(&hosts, &self.own, self.store_replica.next_peer_index());
-        if let Some(name) = asked {
+        let reader = reader_to_ask(&hosts, &self.own, self.store_replica.next_peer_index());
+        if let Some(name) = reader {
             let after = self.store_replica.version(StoreTable::Targets);
-            let purpose = Purpose::StoreUpdates { asked: now };
+            let purpose = Purpose::StoreUpdates { requested_at: now };
             self.call_peer(now, &name, Request::PlatformUpdates { after }, purpose);
         }
     }
@@ -104,11 +104,11 @@
             .update_after(now, after, LocalState { in_force, settled })
     }
 
-    pub(super) fn store_updates_replied(
+    pub(super) fn handle_store_updates_reply(
         &mut self,
         now: Millis,
         name: &Name,
-        asked: Millis,
+        requested_at: Millis,
         reply: Result<Reply, SendFailure>,
     ) {
         let PlatformUpdate {
@@ -121,7 +121,7 @@
         if let Some(draining) = draining {
             self.apply_draining_update(now, draining);
         }
-        if self.store_replica.apply_update(asked, &update) {
+        if self.store_replica.apply_update(requested_at, &update) {
             match update.list.clone() {
                 TargetListUpdate::Whole(targets) => self.targets.replace_list(now, targets.into()),
                 TargetListUpdate::WholeWithUnusable(list) => self.targets.replace_list(now, list),
@@ -137,7 +137,8 @@
         let halls_known = self.draining.version() >= Some(update.configuration_version)
             || !self.settings.safeguards.draining_is_learned_from_peers;
         if update.in_force == self.version() && halls_known {
-            self.store_replica.confirm_configuration(asked, &update);
+            self.store_replica
+                .confirm_configuration(requested_at, &update);
         }
         self.fetch_configuration(now, name);
         if self.store_replica.is_stale(now) {
--- a/crates/dispatcher-core/src/dispatcher/timers.rs
+++ b/crates/dispatcher-core/src/dispatcher/timers.rs
@@ -54,9 +54,9 @@
     pub(super) fn detect_stall(&mut self, now: Millis, times: &Times) -> Option<Millis> {
         let before = std::mem::replace(&mut self.last_event, now);
         let gap_ms = now.saturating_sub(before);
-        let began = self.started.is_some();
+        let has_started = self.started.is_some();
         self.started.get_or_insert(now);
-        (began && gap_ms > times.owner_lease_ms / 2).then_some(gap_ms)
+        (has_started && gap_ms > times.owner_lease_ms / 2).then_some(gap_ms)
     }
 
     /// Makes the next tick and the next assignment due.
@@ -82,14 +82,14 @@
 
     /// Runs the periodic work of jobs.
     fn tick_jobs(&mut self, now: Millis) {
-        let starting = self.is_starting(now);
+        let host_is_starting = self.is_starting(now);
         let (targets, peers) = (&self.targets, &self.peers);
-        let surroundings = TickContext {
-            starting,
+        let context = TickContext {
+            host_is_starting,
             order: self.settings.scheduling.order,
             has_free_target: |order: &TaskOrder| has_free_target(targets, peers, now, order),
         };
-        self.jobs.tick(now, &surroundings);
+        self.jobs.tick(now, &context);
     }
 
     /// Returns true if this host has just started and hadn't held any target by the last tick. Jobs
@@ -195,9 +195,9 @@
             return;
         };
         let same_session = peer.owner_session() == report.owner.session;
-        let waits = same_session && peer.owner_lease.is_valid();
+        let is_expected = same_session && peer.owner_lease.is_valid();
         // A crash counts for the task even if its job has ended.
-        if waits && (report.report_wanted || crashed) {
+        if is_expected && (report.report_wanted || crashed) {
             peer.ends.push(report.end);
         } else if crashed {
             self.jobs.count_crash(now, &report.end);
--- a/crates/dispatcher-core/src/jobs/attempts.rs
+++ b/crates/dispatcher-core/src/jobs/attempts.rs
@@ -28,7 +28,7 @@
         self.set_task_state(now, id, index, TaskState::Running(AttemptLocation::Local));
     }
 
-    /// Records that a peer was asked to start a task.
+    /// Records that a task was sent to a peer, to be started or queued there.
     pub fn record_handover(&mut self, now: Millis, id: &Name, index: usize, peer: &Name) {
         self.set_task_state(now, id, index, TaskState::HandedOver(peer.clone()));
     }
--- a/crates/dispatcher-core/src/jobs/ending.rs
+++ b/crates/dispatcher-core/src/jobs/ending.rs
@@ -22,7 +22,7 @@
 /// Inputs of a tick besides the jobs themselves.
 pub struct TickContext<F> {
     /// Whether this host has just started and has held no target.
-    pub starting: bool,
+    pub host_is_starting: bool,
     /// The configured order of waiting tasks.
     pub order: WaitingOrder,
     /// Returns whether a target that could run an order is known to have free capacity.
@@ -80,7 +80,7 @@
         let urgency = job.queue.urgency;
         let passed_over =
             job.is_late() && giving_up::is_passed_over(context.order, urgency, on_time);
-        let open = job.open_job(passed_over, context.starting);
+        let open = job.open_job(passed_over, context.host_is_starting);
         let cause = giving_up::end_cause(now, &open, job.open_estimates())?;
         // The search for free capacity goes over all targets, so it runs only if its result can
         // change the decision.
--- a/crates/dispatcher-core/src/jobs/job.rs
+++ b/crates/dispatcher-core/src/jobs/job.rs
@@ -142,8 +142,8 @@
     }
 
     /// Returns the inputs of the decision to give the job up, assuming that no target is known
-    /// to have free capacity for it. `starting` is set while this host has just started.
-    pub(super) fn open_job(&self, passed_over: bool, starting: bool) -> OpenJob {
+    /// to have free capacity for it.
+    pub(super) fn open_job(&self, passed_over: bool, host_is_starting: bool) -> OpenJob {
         OpenJob {
             accepted: self.accepted,
             deadline: self.deadline,
@@ -152,7 +152,7 @@
             is_running: self.has_attempts(),
             passed_over,
             has_free_target: false,
-            host_is_starting: starting,
+            host_is_starting,
         }
     }
 
--- a/crates/dispatcher-core/src/peers/choice.rs
+++ b/crates/dispatcher-core/src/peers/choice.rs
@@ -28,7 +28,7 @@
 pub struct ChosenPeer {
     /// The peer's name.
     pub name: Name,
-    /// Whether a task may be handed to it now; otherwise its clock has to be requested first.
+    /// Whether a task may be handed over to it now; otherwise its clock has to be requested first.
     pub has_fresh_clock: bool,
 }
 
@@ -86,7 +86,7 @@
         let mut recent = peers.filter(|peer| {
             peer.accepts_tasks(now) && now <= peer.free_received_at + peer.intervals.heartbeat_ms
         });
-        recent.any(|peer| peer.has_resources(order) || peer.has_free_target(order))
+        recent.any(|peer| peer.has_free_resources(order) || peer.has_free_target(order))
     }
 
     /// Chooses a peer that has, as far as known, the resources for an order, and deducts them
@@ -105,7 +105,7 @@
             stale_clock: !peer.has_fresh_clock(now),
         };
         let open = self.peers.values();
-        let open = open.filter(|peer| peer.accepts_tasks(now) && peer.has_resources(order));
+        let open = open.filter(|peer| peer.accepts_tasks(now) && peer.has_free_resources(order));
         let ranked: Vec<(Preference, &Peer)> = open.map(|peer| (preference(peer), peer)).collect();
         let best = ranked.iter().map(|(preference, _)| *preference).min()?;
         let best: Vec<&Peer> = ranked
@@ -140,7 +140,7 @@
         })
     }
 
-    /// Chooses the holder to which a task is handed, among the peers and this host (`own`). If
+    /// Chooses the holder to which a task is handed over, among the peers and this host (`own`). If
     /// it is a peer, the task is deducted from the peer's known free capacity; see
     /// [`crate::rules::holder_choice`].
     ///
@@ -172,7 +172,7 @@
         };
         let has_fresh_clock = !views[choice.holder].stale_clock;
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.deduct_handed_task(order, urgency);
+            peer.deduct_handed_over(order, urgency);
         }
         Some(ChosenHolder::Peer(ChosenPeer {
             name,
--- a/crates/dispatcher-core/src/peers/load.rs
+++ b/crates/dispatcher-core/src/peers/load.rs
@@ -146,9 +146,9 @@
         })
     }
 
-    /// Deducts a task that is handed to it from the known load: from the target on which it is
+    /// Deducts a task that is handed over to it from the known load: from the target on which it is
     /// expected to start, otherwise from the queue of its pool.
-    pub(super) fn deduct_handed_task(&mut self, order: &TaskOrder, urgency: u8) {
+    pub(super) fn deduct_handed_over(&mut self, order: &TaskOrder, urgency: u8) {
         let targets = self.load.free_targets.iter_mut();
         let fitting = targets.filter(|target| target.fits(order));
         let best = fitting.min_by_key(|target| {
--- a/crates/dispatcher-core/src/peers/peer.rs
+++ b/crates/dispatcher-core/src/peers/peer.rs
@@ -120,13 +120,13 @@
         self.contact.is_alive(now, &self.intervals)
     }
 
-    /// Returns whether tasks may be handed to it: it is alive and not stopping.
+    /// Returns whether tasks may be handed over to it: it is alive and not stopping.
     #[must_use]
     pub fn accepts_tasks(&self, now: Millis) -> bool {
         self.contact.is_alive(now, &self.intervals) && !self.leaving
     }
 
-    /// Returns whether its clock was received recently enough to hand it a task now.
+    /// Returns whether its clock was received recently enough to hand a task over to it now.
     pub(super) fn has_fresh_clock(&self, now: Millis) -> bool {
         self.contact.has_fresh_clock(now, &self.intervals)
     }
@@ -271,8 +271,8 @@
         free.any(|free| free.resources.fits(resources))
     }
 
-    /// Returns whether it has, as far as known, the resources for an order.
-    pub(super) fn has_resources(&self, order: &TaskOrder) -> bool {
+    /// Returns whether it has, as far as known, free resources for an order.
+    pub(super) fn has_free_resources(&self, order: &TaskOrder) -> bool {
         self.free.iter().any(|free| fits(free, order))
     }
 
--- a/crates/dispatcher-core/src/rules/holder_choice.rs
+++ b/crates/dispatcher-core/src/rules/holder_choice.rs
@@ -211,7 +211,7 @@
     Some(pick_by_name(task.name, &offers).unwrap_or(&best).choice)
 }
 
-/// Returns the time until a task that is handed over now can start at a holder, in ms.
+/// Returns the time until a task that is handed over now arrives at a holder, in ms.
 fn arrival_ms(view: &HolderView) -> f64 {
     let clock_ms = if view.stale_clock {
         2 * view.transit_ms
--- a/crates/dispatcher-core/src/rules/liveness.rs
+++ b/crates/dispatcher-core/src/rules/liveness.rs
@@ -85,9 +85,9 @@
     }
 }
 
-/// Returns whether a host that became known at `learnt_at` and hasn't answered yet may be alive, and
-/// so keeps its targets. Otherwise a host that has just started with a full link, and has received
-/// no reply yet, would take the targets of all others.
+/// Returns whether a host that became known at `learnt_at` and hasn't answered yet may be alive,
+/// and so keeps its targets. Otherwise a host that has just started with a full link, and has
+/// received no reply yet, would take the targets of all others.
 #[must_use]
 pub fn may_be_alive(now: Millis, learnt_at: Millis, contact: &PeerContact) -> bool {
     contact.acknowledged.is_none() && !contact.refused && learnt_at + FIRST_REPLY_MS > now
--- a/crates/dispatcher-core/src/store_replica.rs
+++ b/crates/dispatcher-core/src/store_replica.rs
@@ -221,10 +221,10 @@
         })
     }
 
-    /// Applies the list of targets of an update that was requested at `asked`. Returns false,
-    /// without effect, if the update isn't newer than the known list.
-    pub fn apply_update(&mut self, asked: Millis, reply: &StoreUpdate) -> bool {
-        let at = asked.saturating_sub(reply.age_ms);
+    /// Applies the list of targets of an update that was requested at `requested_at`. Returns
+    /// false, without effect, if the update isn't newer than the known list.
+    pub fn apply_update(&mut self, requested_at: Millis, reply: &StoreUpdate) -> bool {
+        let at = requested_at.saturating_sub(reply.age_ms);
         let older = reply.targets_version < self.targets.version;
         if older || self.targets.current_at.is_some_and(|known| known >= at) {
             return false;
@@ -239,8 +239,8 @@
     }
 
     /// Records that the configuration is as current as that of the peer that sent an update.
-    pub fn confirm_configuration(&mut self, asked: Millis, reply: &StoreUpdate) {
-        let at = asked.saturating_sub(reply.age_ms);
+    pub fn confirm_configuration(&mut self, requested_at: Millis, reply: &StoreUpdate) {
+        let at = requested_at.saturating_sub(reply.age_ms);
         self.record_version(StoreTable::Configuration, reply.configuration_version, at);
     }
 }
--- a/crates/dispatcher-core/src/targets/attempt.rs
+++ b/crates/dispatcher-core/src/targets/attempt.rs
@@ -207,14 +207,14 @@
         stopped || confirmed || self.latest_start < requested
     }
 
-    /// Returns how certain it is that the attempt ran when its target was lost. `gone_by` is the
-    /// latest time at which the target can have stopped; with `None`, an attempt whose end wasn't
-    /// received counts as running.
-    pub(super) fn running_when_lost(&self, gone_by: Option<Millis>) -> RunState {
+    /// Returns how certain it is that the attempt ran when its target was lost. `latest_loss` is
+    /// the latest time at which the target can have stopped; with `None`, an attempt whose end
+    /// wasn't received counts as running.
+    pub(super) fn running_when_lost(&self, latest_loss: Option<Millis>) -> RunState {
         if self.unsent_specification.is_some() {
             return RunState::NotRunning;
         }
-        let may_be_done = gone_by.is_some_and(|gone_by| self.earliest_end() <= gone_by);
+        let may_be_done = latest_loss.is_some_and(|latest_loss| self.earliest_end() <= latest_loss);
         match (self.stop, self.confirmed) {
             (StopStage::Done(_), _) => RunState::NotRunning,
             (StopStage::NotRequested, Some(_)) if !may_be_done => RunState::Confirmed,
--- a/crates/dispatcher-core/src/targets/claims.rs
+++ b/crates/dispatcher-core/src/targets/claims.rs
@@ -196,10 +196,10 @@
     /// Handles a reply that shows another process at the target's address.
     pub(super) fn handle_wrong_incarnation(&mut self, now: Millis, id: &Name) {
         let known = self.targets.get(id);
-        let gone_by = known.and_then(|target| self.gone_by(now, target));
+        let latest_loss = known.and_then(|target| self.latest_loss(now, target));
         if let Some(target) = self.targets.get_mut(id) {
             let (loss, by) = (TargetLoss::ProcessGone, EndEvidence::WrongIncarnation);
-            let reports = target.end_all_attempts(now, loss, gone_by, by);
+            let reports = target.end_all_attempts(now, loss, latest_loss, by);
             target.lease.release();
             target.reset();
             target.lease.backoff_until = now + contention::BACKOFF_MS;
--- a/crates/dispatcher-core/src/targets/ends.rs
+++ b/crates/dispatcher-core/src/targets/ends.rs
@@ -120,31 +120,35 @@
         &mut self,
         now: Millis,
         loss: TargetLoss,
-        gone_by: Option<Millis>,
+        latest_loss: Option<Millis>,
         by: EndEvidence,
     ) -> Vec<EndReport> {
-        let outcomes = self.lost_outcomes(loss, gone_by).into_iter();
+        let outcomes = self.lost_outcomes(loss, latest_loss).into_iter();
         outcomes
             .filter_map(|(id, outcome)| self.end_attempt(now, &id, outcome, by))
             .collect()
     }
 
-    /// Returns the outcomes of all attempts if the target is lost. `gone_by` is the latest time at
-    /// which the target can have stopped.
+    /// Returns the outcomes of all attempts if the target is lost. `latest_loss` is the latest time
+    /// at which the target can have stopped.
     pub(super) fn lost_outcomes(
         &self,
         loss: TargetLoss,
-        gone_by: Option<Millis>,
+        latest_loss: Option<Millis>,
     ) -> BTreeMap<AttemptId, AttemptOutcome> {
         let attempts = self.attempts.values();
-        let running =
-            attempts.filter(|attempt| attempt.running_when_lost(gone_by) != RunState::NotRunning);
+        let running = attempts
+            .filter(|attempt| attempt.running_when_lost(latest_loss) != RunState::NotRunning);
         let running = running.count();
         let others = running.saturating_sub(1);
         let leaving = self.entry.leaving;
         let outcomes = self.attempts.iter().map(|(id, attempt)| {
-            let outcome =
-                crashes::outcome(loss, leaving, attempt.running_when_lost(gone_by), others);
+            let outcome = crashes::outcome(
+                loss,
+                leaving,
+                attempt.running_when_lost(latest_loss),
+                others,
+            );
             (id.clone(), outcome)
         });
         outcomes.collect()
--- a/crates/dispatcher-core/src/targets/incarnations.rs
+++ b/crates/dispatcher-core/src/targets/incarnations.rs
@@ -23,12 +23,12 @@
 use super::{PendingCall, Purpose, TargetLeases};
 
 impl TargetLeases {
-    /// Marks the incarnations of all targets as unconfirmed after this host was suspended: the
+    /// Marks the incarnations of all targets as unconfirmed after this host was stalled: the
     /// targets may have restarted or be held by another host. Replies to calls from before the
-    /// suspension show nothing.
+    /// stall show nothing.
     pub fn mark_incarnations_unconfirmed(&mut self) {
         for pending in self.calls.values_mut() {
-            pending.sent_before_suspension = true;
+            pending.sent_before_stall = true;
         }
         self.for_each_active(|target| {
             target.mark_incarnation_unconfirmed();
@@ -39,7 +39,7 @@
 
     /// Returns the latest time at which a lost target can have stopped; `None` if the safeguard
     /// that accounts for ends that weren't received is off.
-    pub(super) fn gone_by(&self, now: Millis, target: &Target) -> Option<Millis> {
+    pub(super) fn latest_loss(&self, now: Millis, target: &Target) -> Option<Millis> {
         let counted = self.safeguards.unreported_ends_are_considered;
         counted.then(|| target.refuses_since.unwrap_or(now))
     }
@@ -56,7 +56,7 @@
         };
         let is_current = pending.token == target.lease.token && !target.lease.is_free();
         if !is_current
-            || pending.sent_before_suspension
+            || pending.sent_before_stall
             || !self.safeguards.incarnations_are_distinguished
         {
             return;
@@ -67,14 +67,14 @@
             }
             return;
         }
-        let gone_by = self.gone_by(now, &self.targets[&pending.target]);
+        let latest_loss = self.latest_loss(now, &self.targets[&pending.target]);
         let Some(target) = self.targets.get_mut(&pending.target) else {
             return;
         };
         let token = self.tokens.next(now);
         let requested = listing_requested_at(pending);
         self.reports.extend(target.end_unsent(now));
-        let outcomes = target.lost_outcomes(TargetLoss::Restarted, gone_by);
+        let outcomes = target.lost_outcomes(TargetLoss::Restarted, latest_loss);
         let longest_attempts_over = self.times.longest_attempts_over_ms;
         let reports = target.start_incarnation(
             now,
--- a/crates/dispatcher-core/src/targets/mod.rs
+++ b/crates/dispatcher-core/src/targets/mod.rs
@@ -62,8 +62,8 @@
     token: u64,
     /// The target's last known clock when the call was sent.
     clock: Option<Millis>,
-    /// True if this host was suspended after sending: the reply may be old.
-    sent_before_suspension: bool,
+    /// True if this host was stalled after sending: the reply may be old.
+    sent_before_stall: bool,
     target: Name,
     purpose: Purpose,
 }
@@ -272,7 +272,7 @@
         let pending = PendingCall {
             token,
             clock: target.last_clock(),
-            sent_before_suspension: false,
+            sent_before_stall: false,
             target: id.clone(),
             purpose,
         };
--- a/crates/dispatcher-core/src/targets/renewals.rs
+++ b/crates/dispatcher-core/src/targets/renewals.rs
@@ -20,7 +20,7 @@
     /// Ends attempts on targets whose lease has expired: none of them can run any more.
     pub fn end_expired(&mut self, now: Millis) {
         for id in &self.active {
-            let gone_by = self.gone_by(now, &self.targets[id]);
+            let latest_loss = self.latest_loss(now, &self.targets[id]);
             let target = self.targets.get_mut(id);
             let target = target.expect("active targets are known");
             let waits_for_lease = self.safeguards.silent_attempts_are_waited_for;
@@ -33,7 +33,7 @@
                     TargetLoss::Silent
                 };
                 let reports =
-                    target.end_all_attempts(now, loss, gone_by, EndEvidence::LeaseExpired);
+                    target.end_all_attempts(now, loss, latest_loss, EndEvidence::LeaseExpired);
                 self.reports.extend(reports);
                 target.mark_incarnation_unconfirmed();
             }
--- a/crates/dispatcher-core/src/targets/replies.rs
+++ b/crates/dispatcher-core/src/targets/replies.rs
@@ -44,7 +44,7 @@
             token,
             target,
             purpose,
-            sent_before_suspension,
+            sent_before_stall,
             ..
         } = pending;
         match purpose {
@@ -52,32 +52,33 @@
                 self.handle_renewal_reply(now, call, &target, requested, reply)
             }
             Purpose::Start(id) => {
-                self.record_reply_clock(now, token, sent_before_suspension, &target, &reply);
-                if !sent_before_suspension {
+                self.record_reply_clock(now, token, sent_before_stall, &target, &reply);
+                if !sent_before_stall {
                     self.observe_start_reply(now, &target, &id, &reply);
                 }
                 self.handle_start_reply(now, token, &target, &id, reply);
             }
             Purpose::Stop(id) => {
-                self.record_reply_clock(now, token, sent_before_suspension, &target, &reply);
+                self.record_reply_clock(now, token, sent_before_stall, &target, &reply);
                 self.handle_stop_reply(now, call, token, &target, &id, reply);
             }
         }
     }
 
     /// Records the clock in a reply to a start or a stop. A call with an earlier token may have
-    /// reached another incarnation, and a reply from before this host was suspended is out of date.
+    /// reached another incarnation, and a reply to a call from before this host was stalled is
+    /// outdated.
     fn record_reply_clock(
         &mut self,
         now: Millis,
         token: u64,
-        sent_before_suspension: bool,
+        sent_before_stall: bool,
         id: &Name,
         reply: &Result<TargetReply, SendFailure>,
     ) {
         let clock = reply.as_ref().ok().and_then(accepted_call_clock);
         if let (Some(clock), Some(target)) = (clock, self.targets.get_mut(id)) {
-            if token == target.lease.token && !sent_before_suspension {
+            if token == target.lease.token && !sent_before_stall {
                 target.record_clock(now, clock);
             }
         }
--- a/crates/dispatcher-core/src/targets/target.rs
+++ b/crates/dispatcher-core/src/targets/target.rs
@@ -295,7 +295,7 @@
     }
 
     /// Records that the target may have restarted since its last reply. Nothing is started there
-    /// until it replies again. Guards against a host that was suspended and takes a new incarnation
+    /// until it replies again. Guards against a host that was stalled and takes a new incarnation
     /// for the known one.
     pub(super) fn mark_incarnation_unconfirmed(&mut self) {
         self.clock = None;
--- a/crates/dispatcher-core/tests/bounds.rs
+++ b/crates/dispatcher-core/tests/bounds.rs
@@ -21,7 +21,9 @@
             let bounds = $bounds;
             let times = bounds.times().unwrap();
             // Attempts of a lost owner have ended before the caller sends the job again.
-            let ended_after = times.owner_lease_ms + longest_on_true_clock(times.target_lease_ms) + bounds.stop_grace_ms;
+            let ended_after = times.owner_lease_ms
+                + longest_on_true_clock(times.target_lease_ms)
+                + bounds.stop_grace_ms;
             assert!(ended_after < bounds.retransmit_ms, "{times:?}");
             assert_eq!(ended_after, times.lost_attempts_over_ms);
             assert!(times.target_lease_ms <= bounds.max_target_lease_ms);
